--- a/dispatch/entry/agents.go
+++ b/dispatch/entry/agents.go
@@ -11,52 +11,52 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// agent is one agent process as this entry sees it.
+// agent is this entry's view of one agent process.
 type agent struct {
-	hello   *pb.AgentHello
-	session link.Session
-	epoch   uint64 // of the last link asked for
-	dialing bool
-	failed  int       // attempts since the last link
-	dialAt  time.Time // when the next attempt may start
-	downAt  time.Time // when the last link was lost
-	gone    bool      // given up; back when it announces itself
-
-	leaving  bool
-	load     *pb.AgentLoad
-	revision uint64
-	wanted   uint32 // want as last told
-
-	tasks []*taskState // sent, and no result or refusal has come
-
-	out    pb.EntryFrame // content of the next frame
-	placed []*taskState  // starts of the next frame
-	dirty  bool
-
-	standing place.Standing // as last told, for operators
+	hello       *pb.AgentHello
+	session     link.Session
+	epoch       uint64 // of the last link requested
+	dialing     bool
+	failedDials int       // dial attempts since the last link
+	dialAt      time.Time // when the next attempt may start
+	downAt      time.Time // when the last link was lost
+	abandoned   bool      // until it announces itself again
+
+	leaving    bool
+	load       *pb.AgentLoad
+	revision   uint64
+	sentDemand uint32 // unmet demand, as last sent
+
+	tasks []*taskState // sent, without a result or refusal yet
+
+	nextFrame     pb.EntryFrame // content of the next frame
+	pendingStarts []*taskState  // starts to send in the next frame
+	dirty         bool
+
+	healthState place.Standing // as last recorded, for operators
 }
 
 const (
-	// maxPast is how many ended incarnations of an agent are remembered, and
-	// maxPastNames of how many agents.
-	maxPast      = 4
-	maxPastNames = 10_000
-	// forgetAgentAfter is how long an agent that was given up is listed.
+	// maxPastIncarnations is how many ended incarnations are remembered for an agent,
+	// and maxPastAgents for how many agents.
+	maxPastIncarnations = 4
+	maxPastAgents       = 10_000
+	// forgetAgentAfter is how long an abandoned agent stays listed.
 	forgetAgentAfter = 10 * time.Minute
 )
 
-// AgentSeen takes in an announcement. A new incarnation replaces the old one,
-// whose process has ended. Relink asks for a new link to the same process.
+// AgentSeen handles an agent's announcement. A new incarnation replaces the old
+// one, whose process has ended. Relink requests a new link to the same process.
 func (e *Entry) AgentSeen(now time.Time, hello *pb.AgentHello, relink, leaving bool) {
-	if slices.Contains(e.past[hello.Agent], hello.Incarnation) {
-		// An announcement that was delayed until after the next process's own. Taking
-		// it in would give up on all that runs in the living process.
+	if slices.Contains(e.pastIncarnations[hello.Agent], hello.Incarnation) {
+		// A stale announcement, delayed until after that of the next process. Handling
+		// it would abandon every task that runs in the current process.
 		return
 	}
 	a := e.byName[hello.Agent]
 	if a != nil && a.hello.Incarnation != hello.Incarnation {
-		e.lose(now, a, "the agent was restarted")
-		e.remove(a)
+		e.abandon(now, a, "the agent was restarted")
+		e.removeEnded(a)
 		a = nil
 	}
 	if a == nil {
@@ -67,35 +67,35 @@
 	}
 	a.leaving = leaving
 	e.policy.health.Add(hello.Agent)
-	if a.gone {
+	if a.abandoned {
 		e.recordPeer(now, event.PeerBack, a, "", 0)
-		a.gone = false
+		a.abandoned = false
 		a.downAt = now
 	}
 	if relink && a.session.IsUp() {
 		e.recordPeer(now, event.PeerSuspected, a, "the agent asks for a new link", 0)
-		e.down(now, a)
+		e.linkLost(now, a)
 		a.dialAt = now
 	}
 	e.dial(now, a)
 }
 
-// remove forgets an agent whose process is known to have ended.
-func (e *Entry) remove(a *agent) {
-	if len(e.past) >= maxPastNames {
-		// Agents with new names take the place of old ones every day. Without what was
-		// known of these, a late announcement costs at most one dial.
-		clear(e.past)
+// removeEnded removes an agent whose process is known to have ended.
+func (e *Entry) removeEnded(a *agent) {
+	if len(e.pastIncarnations) >= maxPastAgents {
+		// Agents are regularly replaced by ones with new names. If an incarnation is
+		// not remembered, a stale announcement costs at most one dial.
+		clear(e.pastIncarnations)
 	}
-	past := append(e.past[a.hello.Agent], a.hello.Incarnation)
-	e.past[a.hello.Agent] = past[max(0, len(past)-maxPast):]
+	past := append(e.pastIncarnations[a.hello.Agent], a.hello.Incarnation)
+	e.pastIncarnations[a.hello.Agent] = past[max(0, len(past)-maxPastIncarnations):]
 	e.forgetAgent(a)
 }
 
-// forgetGone forgets agents that were given up long ago. One that comes back all
-// the same announces itself like a new one.
-func (e *Entry) forgetGone(now time.Time) {
-	old := func(a *agent) bool { return a.gone && !now.Before(a.downAt.Add(forgetAgentAfter)) }
+// forgetAbandoned removes agents that were abandoned long ago. One that comes back
+// announces itself like a new one.
+func (e *Entry) forgetAbandoned(now time.Time) {
+	old := func(a *agent) bool { return a.abandoned && !now.Before(a.downAt.Add(forgetAgentAfter)) }
 	for i := slices.IndexFunc(e.agents, old); i >= 0; i = slices.IndexFunc(e.agents, old) {
 		e.forgetAgent(e.agents[i])
 	}
@@ -108,16 +108,16 @@
 }
 
 func (e *Entry) dial(now time.Time, a *agent) {
-	if a.dialing || a.session.IsUp() || a.gone || now.Before(a.dialAt) {
+	if a.dialing || a.session.IsUp() || a.abandoned || now.Before(a.dialAt) {
 		return
 	}
-	// One counter for all agents: an agent that is forgotten and comes back would
-	// refuse a link numbered lower than the last.
-	e.epoch++
-	a.epoch = e.epoch
+	// All agents share one counter: an agent that was removed and comes back would
+	// refuse a link with an epoch below that of its last one.
+	e.lastEpoch++
+	a.epoch = e.lastEpoch
 	a.dialing = true
-	a.dialAt = now.Add(e.backoff(a.failed))
-	a.failed++
+	a.dialAt = now.Add(e.backoff(a.failedDials))
+	a.failedDials++
 	h := &pb.EntryHello{
 		Entry: e.opts.Hello.Entry, Incarnation: e.opts.Hello.Incarnation, Address: e.opts.Hello.Address,
 		FailureDomain: e.opts.Hello.FailureDomain, AgentIncarnation: a.hello.Incarnation, Epoch: a.epoch,
@@ -126,9 +126,9 @@
 	e.ready.Dials = append(e.ready.Dials, Dial{Agent: a.hello.Agent, Address: a.hello.Address, Hello: h})
 }
 
-// backoff is the pause after the given number of failed attempts, drawn from the
-// upper half of a bound that doubles: a switch that fails would otherwise have
-// every entry dial every agent behind it in step, over and over.
+// backoff returns the delay after the given number of failed attempts, drawn from
+// the upper half of a bound that doubles. Without jitter, a failed switch would
+// make all entries dial all agents behind it in lockstep.
 func (e *Entry) backoff(failed int) time.Duration {
 	bound := e.opts.RedialAfter
 	for i := 0; i < failed && bound < e.opts.RedialMax; i++ {
@@ -138,69 +138,70 @@
 	return bound/2 + time.Duration(e.opts.Random()*float64(bound)/2)
 }
 
-// LinkUp takes in that the link asked for with the epoch is open. Every start
-// without a result goes out again: it, its refusal or its result may have been
-// lost with the old link, and the agent knows which of its starts it took. A
-// revoked one must not start any more, so its revocation goes out in its place.
+// LinkUp reports that the link requested with the epoch is open. Every start
+// without a result is sent again: the start, its refusal or its result may have
+// been lost with the old link, and the agent recognizes starts that it has received
+// before. For a revoked task the revocation is sent instead, since it must not start
+// any more.
 func (e *Entry) LinkUp(now time.Time, name string, epoch uint64) {
 	a := e.byName[name]
 	if a == nil || a.epoch != epoch || !a.dialing {
 		return
 	}
-	a.dialing, a.failed = false, 0
+	a.dialing, a.failedDials = false, 0
 	a.session.Up(now, epoch, e.opts.Link)
 	e.recordPeer(now, event.LinkUp, a, "", epoch)
-	a.wanted = 0
+	a.sentDemand = 0
 	known := e.updateAgent(now, a)
-	a.out = pb.EntryFrame{Peers: e.peers}
-	a.placed = nil
+	a.nextFrame = pb.EntryFrame{Peers: e.peers}
+	a.pendingStarts = nil
 	a.dirty = len(a.tasks) > 0 || len(e.peers) > 0
 	for _, t := range a.tasks {
 		if t.revoked {
 			a.addRevoke(t)
 		} else {
-			a.placed = append(a.placed, t)
-			// The agent takes the slot from what it grants on this link.
+			a.pendingStarts = append(a.pendingStarts, t)
+			// The agent deducts the slot from the credits that it grants on this link.
 			e.policy.sched.Pool.Grant(known, -known.Units(t.start.MemoryBytes))
 		}
 	}
 	for _, name := range e.recoveryNames() {
-		e.fenceAgain(e.recoveries[name], a)
+		e.resendFence(e.recoveries[name], a)
 	}
 }
 
-// TellPeers takes in the entries that live and tells every agent. The link's
-// next epoch tells them again, so that a frame lost with its link does no harm.
+// TellPeers sets the live entries and sends them to every agent. They are sent
+// again on each new link, so a frame lost with its link does no harm.
 func (e *Entry) TellPeers(peers []*pb.Peer) {
 	e.peers = peers
 	for _, a := range e.agents {
 		if a.session.IsUp() {
-			a.out.Peers, a.dirty = peers, true
+			a.nextFrame.Peers, a.dirty = peers, true
 		}
 	}
 }
 
-// LinkDown takes in that a link was lost or could not be opened. Refused tells
-// that the process there is another one, and the agent's own has ended.
+// LinkDown reports that a link was lost or could not be opened. Refused means that
+// another process answered there, so the agent's process has ended.
 func (e *Entry) LinkDown(now time.Time, name string, epoch uint64, refused bool) {
 	a := e.byName[name]
 	if a == nil || a.epoch != epoch {
 		return
 	}
 	if refused {
-		e.lose(now, a, "the agent was restarted")
-		e.remove(a)
+		e.abandon(now, a, "the agent was restarted")
+		e.removeEnded(a)
 		return
 	}
 	wasUp := a.session.IsUp()
-	e.down(now, a)
+	e.linkLost(now, a)
 	if wasUp {
 		a.dialAt = now
 	}
 	e.dial(now, a)
 }
 
-func (e *Entry) down(now time.Time, a *agent) {
+func (e *Entry) linkLost(now time.Time, a *agent) {
 	if a.session.IsUp() {
 		a.downAt = now
 		e.recordPeer(now, event.LinkDown, a, "", a.session.Epoch())
@@ -214,9 +215,9 @@
 		e.policy.sched.Pool.SetCredits(known, 0)
 		e.updateAgent(now, a)
 	}
-	// Starts that were placed and never framed have not left this process.
-	placed := a.placed
-	a.placed = nil
+	// Starts that were placed but never put into a frame have not left this process.
+	placed := a.pendingStarts
+	a.pendingStarts = nil
 	for _, t := range placed {
 		if t.seq == 0 {
 			a.untrack(t)
@@ -229,7 +230,7 @@
 func (e *Entry) tickAgent(now time.Time, a *agent) {
 	if a.session.Silent(now) {
 		e.recordPeer(now, event.PeerSuspected, a, "the link has gone silent", a.session.Epoch())
-		e.down(now, a)
+		e.linkLost(now, a)
 		a.dialAt = now
 	}
 	if a.session.IsUp() {
@@ -238,9 +239,9 @@
 		}
 		return
 	}
-	if !a.gone && !now.Before(a.downAt.Add(e.opts.AgentLostAfter)) {
-		e.lose(now, a, "the agent can't be reached")
-		a.gone = true
+	if !a.abandoned && !now.Before(a.downAt.Add(e.opts.AgentLostAfter)) {
+		e.abandon(now, a, "the agent can't be reached")
+		a.abandoned = true
 		return
 	}
 	e.dial(now, a)
@@ -250,7 +251,7 @@
 	if a.session.IsUp() {
 		return a.session.Next()
 	}
-	if a.gone {
+	if a.abandoned {
 		return a.downAt.Add(forgetAgentAfter)
 	}
 	lost := a.downAt.Add(o.AgentLostAfter)
@@ -260,11 +261,11 @@
 	return link.Earlier(lost, a.dialAt)
 }
 
-// lose gives up on what was sent to an agent process: each such task may have
-// started there, and nobody else may start it.
-func (e *Entry) lose(now time.Time, a *agent, why string) {
+// abandon ends the tasks sent to an agent process with an unknown outcome: each of
+// them may have started there, so no other agent may start it.
+func (e *Entry) abandon(now time.Time, a *agent, why string) {
 	e.recordPeer(now, event.PeerGone, a, why, uint64(len(a.tasks)))
-	e.down(now, a)
+	e.linkLost(now, a)
 	tasks := a.tasks
 	a.tasks = nil
 	e.policy.sched.Drop(a.hello.Agent)
@@ -277,18 +278,18 @@
 		e.taskEnded(now, t, &pb.TaskResult{Task: t.index, Outcome: pb.Outcome_OUTCOME_UNKNOWN, Error: why})
 	}
 	for _, name := range e.recoveryNames() {
-		e.recoveryLost(now, e.recoveries[name], a)
+		e.recoveryAgentLost(now, e.recoveries[name], a)
 	}
 }
 
-// Step takes in a frame of the link with the given epoch.
+// Step handles a frame received on the link with the given epoch.
 func (e *Entry) Step(now time.Time, name string, epoch uint64, f *pb.AgentFrame) {
 	a := e.byName[name]
 	if a == nil || a.session.Epoch() != epoch {
 		return
 	}
 	if a.session.Silent(now) {
-		// As an agent that was paused does; what was missed comes over a new link.
+		// The agent was probably paused. A new link carries what was missed.
 		e.tickAgent(now, a)
 		return
 	}
@@ -309,12 +310,12 @@
 	known := e.updateAgent(now, a)
 	e.policy.sched.Pool.Grant(known, int(f.Granted))
 	for _, n := range f.News {
-		e.news(now, a, n)
+		e.applyResults(now, a, n)
 	}
 	for _, r := range f.Fenced {
-		e.fenceReport(now, a, r)
+		e.applyFenceReport(now, a, r)
 	}
-	// The agent ends once this is acknowledged.
+	// The agent exits once this is acknowledged.
 	a.dirty = a.dirty || (f.Leaving && !a.leaving)
 	a.leaving = f.Leaving
 	if a.leaving {
@@ -322,18 +323,18 @@
 		e.updateAgent(now, a)
 	}
 	if f.Spare != nil {
-		spare, unseen := int(*f.Spare), a.unseen(known)
-		waiting := int(f.Waiting) + max(unseen-max(spare, 0), 0)
-		e.policy.sched.Pool.SetSpare(known, spare-unseen, waiting)
+		spare, unacked := int(*f.Spare), a.unackedUnits(known)
+		waiting := int(f.Waiting) + max(unacked-max(spare, 0), 0)
+		e.policy.sched.Pool.SetSpare(known, spare-unacked, waiting)
 	}
 	if f.Recall > 0 {
-		e.giveBack(a, int(f.Recall))
+		e.returnCredits(a, int(f.Recall))
 	}
 }
 
-// unseen returns the units of starts that the agent had not received when it sent
-// its last frame.
-func (a *agent) unseen(known *place.Agent) int {
+// unackedUnits returns the units of the starts that the agent had not received when
+// it sent its last frame.
+func (a *agent) unackedUnits(known *place.Agent) int {
 	units := 0
 	for _, t := range a.tasks {
 		if t.seq == 0 || t.seq > a.session.Acked() {
@@ -347,18 +348,18 @@
 	return f.Hello != nil || len(f.News) > 0 || len(f.Fenced) > 0 || f.Granted > 0 || f.Leaving
 }
 
-// giveBack returns credits that no waiting task needs; it answers even with
-// none, so that the agent may ask again.
-func (e *Entry) giveBack(a *agent, n int) {
+// returnCredits returns credits that no waiting task needs. It replies even if
+// there are none, so that the agent may recall again.
+func (e *Entry) returnCredits(a *agent, n int) {
 	known := e.policy.sched.Pool.Agent(a.hello.Agent)
-	a.out.Returned += uint32(e.policy.sched.Pool.Reclaim(known, n))
-	a.out.Recalled = true
+	a.nextFrame.Returned += uint32(e.policy.sched.Pool.Reclaim(known, n))
+	a.nextFrame.Recalled = true
 	a.dirty = true
 }
 
-func (e *Entry) news(now time.Time, a *agent, n *pb.TaskNews) {
+func (e *Entry) applyResults(now time.Time, a *agent, n *pb.TaskNews) {
 	if r := e.recoveries[n.Job]; r != nil {
-		e.recoveryNews(now, r, n.Results)
+		e.recoveryResults(now, r, n.Results)
 	}
 	js := e.jobs[n.Job]
 	if js == nil {
@@ -370,45 +371,45 @@
 		}
 		t := &js.tasks[res.Task]
 		if t.agent != a || t.phase != sent {
-			// A result that came twice, over an old and a new link.
+			// A duplicate: the result came over both an old and a new link.
 			continue
 		}
 		if a.untrack(t) {
-			e.unspend(a, t)
+			e.refundCredits(a, t)
 		}
 		e.release(a, t)
-		e.learn(now, a, t, res)
+		e.recordOutcome(now, a, t, res)
 		if res.Outcome == pb.Outcome_OUTCOME_NOT_RUN {
-			e.refused(now, t, res)
+			e.taskRefused(now, t, res)
 			continue
 		}
 		e.taskEnded(now, t, res)
 	}
 }
 
-// flush sends what has gathered for an agent.
+// flush sends everything pending for an agent in one frame.
 func (e *Entry) flush(now time.Time, a *agent) {
 	f := &pb.EntryFrame{
-		Revokes: a.out.Revokes, Fences: a.out.Fences, Finished: a.out.Finished,
-		Returned: a.out.Returned, Recalled: a.out.Recalled, Contracts: a.out.Contracts, Want: a.wanted, Leaving: e.leaving,
-		Ended: e.over, Peers: a.out.Peers,
+		Revokes: a.nextFrame.Revokes, Fences: a.nextFrame.Fences, Finished: a.nextFrame.Finished,
+		Returned: a.nextFrame.Returned, Recalled: a.nextFrame.Recalled, Contracts: a.nextFrame.Contracts, Want: a.sentDemand, Leaving: e.leaving,
+		Ended: e.exiting, Peers: a.nextFrame.Peers,
 	}
-	a.out = pb.EntryFrame{}
+	a.nextFrame = pb.EntryFrame{}
 	a.dirty = false
-	// With a new link, the agent's first frame may bring the result of a task whose
+	// On a new link, the agent's first frame may carry the result of a task whose
 	// start was about to be sent again.
-	a.placed = slices.DeleteFunc(a.placed, func(t *taskState) bool { return t.phase != sent })
-	for _, t := range a.placed {
+	a.pendingStarts = slices.DeleteFunc(a.pendingStarts, func(t *taskState) bool { return t.phase != sent })
+	for _, t := range a.pendingStarts {
 		f.Starts = addStart(now, f.Starts, t)
 	}
 	content := len(f.Starts) > 0 || len(f.Revokes) > 0 || len(f.Fences) > 0 || f.Returned > 0 || len(f.Contracts) > 0
 	f.Seq, f.Ack = a.session.Send(now, content)
 	e.recordSent(now, a, f)
 	f.Clock = e.opts.Events.Stamp(now)
-	for _, t := range a.placed {
+	for _, t := range a.pendingStarts {
 		t.seq = f.Seq
 	}
-	a.placed = a.placed[:0]
+	a.pendingStarts = a.pendingStarts[:0]
 	e.ready.Frames = append(e.ready.Frames, Out{Agent: a.hello.Agent, Epoch: a.session.Epoch(), Frame: f})
 }
 
@@ -426,25 +427,25 @@
 	})
 }
 
-// track notes that a task is this agent's.
+// track assigns a task to this agent and adds its start to the next frame.
 func (a *agent) track(t *taskState) {
 	t.agent = a
 	t.phase = sent
 	t.seq = 0
 	t.pos = len(a.tasks)
 	a.tasks = append(a.tasks, t)
-	a.placed = append(a.placed, t)
+	a.pendingStarts = append(a.pendingStarts, t)
 	a.dirty = true
 }
 
-// untrack ends the agent's part in a task. A start that waits for the next frame
-// is taken out of it, which untrack reports: with a new link the result or refusal
-// may be in the agent's first frame, and the start that was about to go out again
-// would run the task a second time.
+// untrack unassigns a task from the agent and reports whether it withdrew a start
+// that was pending for the next frame. On a new link the agent's first frame may
+// carry the task's result or refusal; sending the start again would then run the
+// task a second time.
 func (a *agent) untrack(t *taskState) (withdrawn bool) {
-	n := len(a.placed)
-	a.placed = slices.DeleteFunc(a.placed, func(x *taskState) bool { return x == t })
-	withdrawn = len(a.placed) < n
+	n := len(a.pendingStarts)
+	a.pendingStarts = slices.DeleteFunc(a.pendingStarts, func(x *taskState) bool { return x == t })
+	withdrawn = len(a.pendingStarts) < n
 	last := len(a.tasks) - 1
 	if t.pos > last || a.tasks[t.pos] != t {
 		return withdrawn
@@ -455,14 +456,14 @@
 	return withdrawn
 }
 
-// revoke asks the agent not to start a task, or to stop it.
+// revoke asks the agent not to start a task, or to stop it if it runs.
 func (a *agent) revoke(t *taskState) {
 	if t.revoked {
 		return
 	}
 	t.revoked = true
 	if a.session.IsUp() {
-		a.placed = slices.DeleteFunc(a.placed, func(x *taskState) bool { return x == t })
+		a.pendingStarts = slices.DeleteFunc(a.pendingStarts, func(x *taskState) bool { return x == t })
 		a.addRevoke(t)
 	}
 }
@@ -470,9 +471,9 @@
 func (a *agent) addRevoke(t *taskState) {
 	a.dirty = true
 	name := t.job.name
-	if n := len(a.out.Revokes); n > 0 && a.out.Revokes[n-1].Job == name {
-		a.out.Revokes[n-1].Tasks = append(a.out.Revokes[n-1].Tasks, t.index)
+	if n := len(a.nextFrame.Revokes); n > 0 && a.nextFrame.Revokes[n-1].Job == name {
+		a.nextFrame.Revokes[n-1].Tasks = append(a.nextFrame.Revokes[n-1].Tasks, t.index)
 		return
 	}
-	a.out.Revokes = append(a.out.Revokes, &pb.Revoke{Job: name, Tasks: []uint32{t.index}})
+	a.nextFrame.Revokes = append(a.nextFrame.Revokes, &pb.Revoke{Job: name, Tasks: []uint32{t.index}})
 }
--- a/dispatch/entry/agents_test.go
+++ b/dispatch/entry/agents_test.go
@@ -10,10 +10,10 @@
 	"github.com/papayahoist/papayahoist/dispatch/entry"
 )
 
-// A switch fails and an agent behind it can't be reached. The entry must not dial
-// it at a steady rate, in step with all others, nor remember it for good when an
-// instance with another name has taken its place; and when it does come back, it
-// must be served again.
+// A switch fails, and an agent behind it becomes unreachable. The entry must back
+// off its dials, so that entries don't dial in lockstep. It must eventually remove
+// the agent, whose instance may have been replaced under another name, and must
+// serve it again if it does come back.
 func TestUnreachableAgent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := entry.New(entry.Options{
@@ -25,7 +25,7 @@
 	hello := &pb.AgentHello{Agent: "a", Incarnation: "1", Slots: 1}
 	e.AgentSeen(now, hello, false, false)
 	dials := 0
-	pass := func(d time.Duration) {
+	advance := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(50 * time.Millisecond) {
 			e.Tick(now)
 			for _, d := range e.Ready(now).Dials {
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	pass(15 * time.Second)
+	advance(15 * time.Second)
 	// 250 ms doubling to 2 s, for 10 s; at a steady 250 ms it would be 40.
 	if dials < 5 || dials > 10 {
 		t.Errorf("%d dials in 10 s, want 5 to 10", dials)
@@ -42,9 +42,9 @@
 	if n := len(e.AgentStatuses()); n != 1 {
 		t.Errorf("%d agents listed while the agent may come back, want 1", n)
 	}
-	pass(11 * time.Minute)
+	advance(11 * time.Minute)
 	if n := len(e.AgentStatuses()); n != 0 {
-		t.Errorf("%d agents listed, want it forgotten", n)
+		t.Errorf("%d agents listed, want it removed", n)
 	}
 	dials = 0
 	e.AgentSeen(now, hello, false, false)
@@ -53,11 +53,10 @@
 	}
 }
 
-// A job is cancelled, its answer is dropped in time, and only then does its task
-// end and the result come. An entry that stumbled over it would take all its jobs
-// with it.
+// A job is cancelled and its answer is dropped, and only then does its task's result
+// arrive. If the entry crashed on it, all its jobs would be lost.
 func TestResultAfterAnswerWasDropped(t *testing.T) {
-	b := newBed(t, 1, contractOf("desk"))
+	b := newFixture(t, 1, contractOf("desk"))
 	b.run = func(string, agent.Run) (time.Duration, *pb.TaskResult) {
 		return 3 * time.Minute, &pb.TaskResult{Outcome: pb.Outcome_OUTCOME_COMPLETE, RunMillis: 180_000}
 	}
@@ -70,10 +69,10 @@
 	b.settle()
 	b.advance(entry.DefaultAnswerTTL + time.Second)
 	if answer, known := b.entry.Fetch(id, "desk"); !known || answer.GetCode() != string(jobs.CodeNotFound) {
-		t.Fatalf("answer %v, known %v, want it dropped while the task is open", answer, known)
+		t.Fatalf("answer %v, known %v, want it dropped while the task has not ended", answer, known)
 	}
 	b.advance(time.Minute)
 	if _, known := b.entry.Fetch(id, "desk"); known {
-		t.Error("the job is held though its last task has ended")
+		t.Error("the job is still known although its last task has ended")
 	}
 }
--- a/dispatch/entry/bench_test.go
+++ b/dispatch/entry/bench_test.go
@@ -20,9 +20,9 @@
 	benchSlots   = 40
 )
 
-// pair is an entry with agents whose endpoints end each task at once. Messages
-// take no time; time advances with each job.
-type pair struct {
+// benchSite is an entry with agents whose endpoints complete each task immediately.
+// Messages take no time. Time advances with each job.
+type benchSite struct {
 	b       *testing.B
 	now     time.Time
 	entry   *entry.Entry
@@ -31,11 +31,11 @@
 
 	entryTime, agentTime time.Duration
 	messages, bytes      int
-	count                bool
+	counting             bool
 }
 
-func newPair(b *testing.B) *pair {
-	p := &pair{b: b, now: time.Unix(1_000_000, 0)}
+func newBenchSite(b *testing.B) *benchSite {
+	p := &benchSite{b: b, now: time.Unix(1_000_000, 0)}
 	c := &pb.Contract{
 		Name: "desk", Class: pb.Class_CLASS_NORMAL, Weight: 1, Rate: 1e9, Burst: 1e9, Concurrency: 1e6,
 		MemoryBytes: 1 << 50, Waiting: 1e6, DefaultTimeoutMs: 60_000,
@@ -53,7 +53,7 @@
 	return p
 }
 
-func (p *pair) settle() {
+func (p *benchSite) settle() {
 	for {
 		began := time.Now()
 		r := p.entry.Ready(p.now)
@@ -69,7 +69,7 @@
 			p.settleAgent(i, d.Agent)
 		}
 		for _, f := range r.Frames {
-			p.measure(f.Frame)
+			p.countMessage(f.Frame)
 			i, _ := strconv.Atoi(f.Agent[1:])
 			began = time.Now()
 			p.agents[i].Step(p.now, benchHome, f.Epoch, f.Frame)
@@ -79,7 +79,7 @@
 	}
 }
 
-func (p *pair) settleAgent(i int, name string) {
+func (p *benchSite) settleAgent(i int, name string) {
 	for {
 		began := time.Now()
 		r := p.agents[i].Ready(p.now)
@@ -88,7 +88,7 @@
 		}
 		p.agentTime += time.Since(began)
 		for _, f := range r.Frames {
-			p.measure(f.Frame)
+			p.countMessage(f.Frame)
 			began = time.Now()
 			p.entry.Step(p.now, name, f.Epoch, f.Frame)
 			p.entryTime += time.Since(began)
@@ -99,14 +99,14 @@
 	}
 }
 
-func (p *pair) measure(m proto.Message) {
-	if p.count {
+func (p *benchSite) countMessage(m proto.Message) {
+	if p.counting {
 		p.messages++
 		p.bytes += proto.Size(m)
 	}
 }
 
-func (p *pair) job(i, tasks int) {
+func (p *benchSite) runJob(i, tasks int) {
 	j := &pb.Job{Id: p.entry.Token(p.now).String() + ".j" + strconv.Itoa(i), Contract: "desk", Kind: "gauge", Tasks: make([]*pb.Task, tasks)}
 	payload := make([]byte, benchPayload)
 	all := make([]pb.Task, tasks)
@@ -132,32 +132,32 @@
 	p.agentTime += time.Since(began)
 }
 
-// BenchmarkOutcomes is the path of a job through the decisions of entry and agent:
-// submit, dispatch, start, result, answer. Neither has any other way out, so the
-// platform's store is not called.
+// BenchmarkOutcomes measures the path of a job through the state machines of entry
+// and agent: submit, dispatch, start, result, answer. The platform's store is not
+// called.
 func BenchmarkOutcomes(b *testing.B) {
 	for _, tasks := range []int{1, 10, 160} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			p := newPair(b)
+			p := newBenchSite(b)
 			for i := range 100 {
-				p.job(i, tasks)
+				p.runJob(i, tasks)
 			}
-			p.answers, p.entryTime, p.agentTime, p.count = 0, 0, 0, true
+			p.answers, p.entryTime, p.agentTime, p.counting = 0, 0, 0, true
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				p.job(100+i, tasks)
+				p.runJob(100+i, tasks)
 			}
 			b.StopTimer()
 			if p.answers != b.N {
 				b.Fatalf("%d answers to %d jobs", p.answers, b.N)
 			}
 			n := float64(b.N)
-			per := n * float64(tasks)
-			b.ReportMetric(float64(p.entryTime.Nanoseconds())/per, "entry-ns/task")
-			b.ReportMetric(float64(p.agentTime.Nanoseconds())/per, "agent-ns/task")
+			totalTasks := n * float64(tasks)
+			b.ReportMetric(float64(p.entryTime.Nanoseconds())/totalTasks, "entry-ns/task")
+			b.ReportMetric(float64(p.agentTime.Nanoseconds())/totalTasks, "agent-ns/task")
 			b.ReportMetric(float64(p.messages)/n, "messages/job")
-			b.ReportMetric(float64(p.bytes)/per, "wire-B/task")
+			b.ReportMetric(float64(p.bytes)/totalTasks, "wire-B/task")
 		})
 	}
 }
--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -16,62 +16,62 @@
 
 // Options configure an Entry.
 type Options struct {
-	// Hello names the entry. AgentIncarnation and Epoch are set per link.
+	// Hello identifies the entry. AgentIncarnation and Epoch are set per link.
 	Hello *pb.EntryHello
-	// Started is when this process began; home tokens count from it.
+	// Started is the start time of this process. Periods of home tokens count from it.
 	Started time.Time
 	Link    link.Options
-	// Contract returns the contract in force, nil for none. It is called in
-	// the same thread as the input methods.
+	// Contract returns the contract in force, or nil if there is none. It is called
+	// on the goroutine that calls the input methods.
 	Contract func(name string) *pb.Contract
-	// AnswerTTL is how long an answer can be fetched after the job's end.
+	// AnswerTTL is how long an answer can be fetched after the job has ended.
 	AnswerTTL time.Duration
-	// TokenTTL is how long an id made from a home token may start a job. Ids are
-	// remembered at least that long.
+	// TokenTTL is how long an id made from a home token may start a job. Retired ids
+	// are remembered at least that long.
 	TokenTTL time.Duration
-	// TokenPeriod is how long the same token is handed out, at most.
+	// TokenPeriod is the longest time for which the same token is handed out.
 	TokenPeriod time.Duration
-	// RevokeWait is how long the answer of a job that was cancelled or is late
-	// may wait for the agents' proof that nothing has run.
+	// RevokeWait is how long the answer of a job that was cancelled or has expired
+	// may wait for the agents to confirm that nothing has run.
 	RevokeWait time.Duration
-	// RecoverWait is how long a recovery waits for agents that can't be reached.
+	// RecoverWait is how long a recovery waits for unreachable agents.
 	RecoverWait time.Duration
-	// AgentLostAfter is when an agent without a link is given up, and the outcome
-	// of what was sent to it is unknown.
+	// AgentLostAfter is how long an agent may be without a link before it is
+	// abandoned. The outcome of the tasks sent to it is then unknown.
 	AgentLostAfter time.Duration
-	// RedialAfter is the longest time until a second attempt to reach an agent; it
-	// doubles with each further one up to RedialMax.
+	// RedialAfter bounds the delay before the second attempt to reach an agent. The
+	// bound doubles with each further attempt, up to RedialMax.
 	RedialAfter, RedialMax time.Duration
-	// Random gives numbers in [0, 1), for jitter; nil: none.
+	// Random returns numbers in [0, 1) for jitter. Nil disables jitter.
 	Random func() float64
-	// NewPicker returns what chooses agents for tasks; nil: late binding by
-	// credits, with MessageCost.
+	// NewPicker returns the strategy that chooses agents for tasks. Nil selects late
+	// binding by credits, with MessageCost.
 	NewPicker func() place.Picker
-	// ExchangeAfter is the least time between exchanges that the entry asks for
-	// because a part of a contract holds up its work.
+	// ExchangeAfter is the least time between exchanges that the entry requests
+	// because its share of a contract limits its work.
 	ExchangeAfter time.Duration
 	// OverbookAfter is how long tasks wait for a spare slot before one is sent to
-	// wait at each agent.
+	// each agent to queue there.
 	OverbookAfter time.Duration
-	// MessageCost is how much later a task may end to save one message.
+	// MessageCost is how much later a task may end if that saves one message.
 	MessageCost time.Duration
-	// DomainRoundTrip is the round trip to an agent in another failure domain,
-	// beyond the one to an agent in the entry's own.
+	// DomainRoundTrip is the additional round-trip time to an agent in another
+	// failure domain, compared with one in the entry's own.
 	DomainRoundTrip time.Duration
-	// MaxWaiting bounds the tasks that wait.
+	// MaxWaiting bounds the number of waiting tasks.
 	MaxWaiting int
-	// MaxJobs bounds the jobs without an answer, and the answers kept.
+	// MaxJobs bounds the number of jobs without an answer, and that of answers kept.
 	MaxJobs int
-	// MaxAnswerBytes bounds the results in the answers kept.
+	// MaxAnswerBytes bounds the total size of the results in the answers kept.
 	MaxAnswerBytes int
-	// Door is for ids that are keys of the callers' own.
+	// Door configures how the homes of caller-made keys are resolved.
 	Door door.Options
-	// MaxSpent bounds the ids remembered as not to be started again; beyond it
+	// MaxRetiredIDs bounds the ids remembered as not to be started again. Beyond it
 	// the oldest tokens expire early.
-	MaxSpent int
-	// MaxRecoveries bounds the recoveries held, ended ones included.
+	MaxRetiredIDs int
+	// MaxRecoveries bounds the recoveries kept, including ended ones.
 	MaxRecoveries int
-	// Events takes what happens, for the time line, and stamps messages; nil: none.
+	// Events records events for the time line and stamps messages. Nil disables both.
 	Events *event.Ring
 }
 
@@ -86,7 +86,7 @@
 	DefaultRedialMax      = 2 * time.Second
 	DefaultMaxJobs        = 200_000
 	DefaultMaxAnswerBytes = 64 << 20
-	DefaultMaxSpent       = 1_000_000
+	DefaultMaxRetiredIDs  = 1_000_000
 	DefaultMaxRecoveries  = 10_000
 	DefaultMaxWaiting     = 100_000
 	DefaultExchangeAfter  = 50 * time.Millisecond
@@ -122,12 +122,12 @@
 	o.MaxWaiting = cmp.Or(o.MaxWaiting, DefaultMaxWaiting)
 	o.MaxJobs = cmp.Or(o.MaxJobs, DefaultMaxJobs)
 	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, DefaultMaxAnswerBytes)
-	o.MaxSpent = cmp.Or(o.MaxSpent, DefaultMaxSpent)
+	o.MaxRetiredIDs = cmp.Or(o.MaxRetiredIDs, DefaultMaxRetiredIDs)
 	o.MaxRecoveries = cmp.Or(o.MaxRecoveries, DefaultMaxRecoveries)
 	return o
 }
 
-// UsePreset fills in what a preset says and the options leave open.
+// UsePreset sets the zero fields of o that the preset has a value for.
 func (o *Options) UsePreset(p preset.Preset) {
 	if o.Link == (link.Options{}) {
 		o.Link = p.Link
@@ -144,27 +144,27 @@
 	Frame *pb.EntryFrame
 }
 
-// Dial asks for a new link to an agent; the driver reports LinkUp or LinkDown
-// with the same epoch. An earlier link to the agent is to be closed.
+// Dial requests a new link to an agent. The driver closes any earlier link to the
+// agent and reports LinkUp or LinkDown with the same epoch.
 type Dial struct {
 	Agent   string
 	Address string
 	Hello   *pb.EntryHello
 }
 
-// Ended is the answer of a job.
+// Ended is the final answer of a job.
 type Ended struct {
 	Contract string
 	Answer   *pb.Answer
 }
 
-// Ready is what the driver must carry out, in any order.
+// Ready holds the actions that the driver must carry out, in any order.
 type Ready struct {
 	Dials   []Dial
 	Frames  []Out
 	Answers []Ended
-	// Exchange asks for an exchange with the other entries now: this one waits
-	// for a part of a contract that they hold.
+	// Exchange requests an immediate exchange with the other entries: this one
+	// waits for a share of a contract that they hold.
 	Exchange bool
 }
 
@@ -172,25 +172,25 @@
 type Entry struct {
 	opts Options
 
-	agents []*agent // sorted by name
-	byName map[string]*agent
-	past   map[string][]string // ended incarnations by name, oldest first
-	epoch  uint64              // of the last link asked for
+	agents           []*agent // sorted by name
+	byName           map[string]*agent
+	pastIncarnations map[string][]string // ended incarnations by agent name, oldest first
+	lastEpoch        uint64              // of the last link requested
 
-	jobs        map[string]*jobState      // by job.Name
-	deadlines   indexheap.Heap[*jobState] // jobs without an answer
-	ended       []*jobState               // answered jobs, oldest first
-	answerBytes int
-	spent       *spent
-	door        *door.Door
-	policy      *policy
-	others      map[string]bool      // incarnations of the other entries
-	peers       []*pb.Peer           // the entries that live, as agents were last told
-	recoveries  map[string]*recovery // by job.Name
-	recovered   []*recovery          // ended ones, oldest first
+	jobs            map[string]*jobState      // by job.Name
+	deadlines       indexheap.Heap[*jobState] // jobs without an answer
+	answeredJobs    []*jobState               // answered jobs, oldest first
+	answerBytes     int
+	retired         *retiredIDs
+	keyResolver     *door.Door
+	policy          *policy
+	otherEntries    map[string]bool      // incarnations of the other entries
+	peers           []*pb.Peer           // live entries, as last sent to the agents
+	recoveries      map[string]*recovery // by job.Name
+	endedRecoveries []*recovery          // ended ones, oldest first
 
 	leaving bool
-	over    bool // End was called
+	exiting bool // set by End
 	ready   Ready
 }
 
@@ -198,23 +198,23 @@
 func New(opts Options) *Entry {
 	opts = opts.withDefaults()
 	return &Entry{
-		opts:       opts,
-		policy:     newPolicy(opts),
-		byName:     make(map[string]*agent),
-		past:       make(map[string][]string),
-		jobs:       make(map[string]*jobState),
-		spent:      newSpent(opts.Started, opts),
-		door:       door.New(opts.Hello.Incarnation, opts.Door),
-		recoveries: make(map[string]*recovery),
+		opts:             opts,
+		policy:           newPolicy(opts),
+		byName:           make(map[string]*agent),
+		pastIncarnations: make(map[string][]string),
+		jobs:             make(map[string]*jobState),
+		retired:          newRetiredIDs(opts.Started, opts),
+		keyResolver:      door.New(opts.Hello.Incarnation, opts.Door),
+		recoveries:       make(map[string]*recovery),
 	}
 }
 
-// Token is the home token to hand to callers now.
+// Token returns the home token to hand out to callers at the given time.
 func (e *Entry) Token(now time.Time) job.Token {
-	return job.Token{Incarnation: e.opts.Hello.Incarnation, Period: e.spent.period(now)}
+	return job.Token{Incarnation: e.opts.Hello.Incarnation, Period: e.retired.period(now)}
 }
 
-// Leave stops the entry from taking new jobs; those it has go on.
+// Leave makes the entry refuse new jobs. Accepted jobs continue.
 func (e *Entry) Leave(now time.Time) {
 	e.leaving = true
 	e.record(now, event.DrainBegun, "", "", "no new jobs", e.deadlines.Len())
@@ -223,7 +223,7 @@
 	}
 }
 
-// Links is the number of agents with an open link.
+// Links returns the number of agents with an open link.
 func (e *Entry) Links() int {
 	n := 0
 	for _, a := range e.agents {
@@ -234,11 +234,11 @@
 	return n
 }
 
-// End tells every agent that this process ends now. Call it once drained, and
-// give the frames of the following Ready a moment to go out; agents that miss
-// them wait for this entry until they take it for gone.
+// End notifies every agent that this process is about to exit. Call it once
+// drained, and allow the frames of the following Ready time to be sent: agents that
+// miss them wait for this entry until they time it out.
 func (e *Entry) End(now time.Time) {
-	e.over = true
+	e.exiting = true
 	for _, a := range e.agents {
 		a.dirty = a.session.IsUp()
 	}
@@ -246,44 +246,44 @@
 
 // Drained reports whether every job has its answer.
 func (e *Entry) Drained() bool {
-	return e.deadlines.Len() == 0 && len(e.recoveries) == len(e.recovered)
+	return e.deadlines.Len() == 0 && len(e.recoveries) == len(e.endedRecoveries)
 }
 
-// Tick takes in the passing of time; call it no later than Next says.
+// Tick handles timeouts. Call it no later than the time that Next returns.
 func (e *Entry) Tick(now time.Time) {
 	e.expireJobs(now)
 	e.expireRecoveries(now)
 	for _, a := range e.agents {
 		e.tickAgent(now, a)
 	}
-	e.check(now)
-	e.forgetGone(now)
-	e.forgetOld(now)
+	e.recheck(now)
+	e.forgetAbandoned(now)
+	e.dropAnswers(now)
 }
 
-// Next is when Tick is due; zero: not before the next input.
+// Next returns when Tick is due, or zero if not before the next input.
 func (e *Entry) Next() time.Time {
 	var next time.Time
 	if e.deadlines.Len() > 0 {
 		next = e.deadlines.First().deadline
 	}
-	next = link.Earlier(next, e.nextCheck())
+	next = link.Earlier(next, e.nextRecheck())
 	for _, r := range e.recoveries {
 		next = link.Earlier(next, r.next())
 	}
 	for _, a := range e.agents {
 		next = link.Earlier(next, a.next(&e.opts))
 	}
-	if len(e.ended) > 0 {
-		next = link.Earlier(next, e.ended[0].answered.Add(e.opts.AnswerTTL))
+	if len(e.answeredJobs) > 0 {
+		next = link.Earlier(next, e.answeredJobs[0].answeredAt.Add(e.opts.AnswerTTL))
 	}
 	return next
 }
 
-// Ready returns what has to be done since the last call.
+// Ready returns the actions that have accumulated since the last call.
 func (e *Entry) Ready(now time.Time) Ready {
-	// A process that was paused takes in messages before its timer: what is late by
-	// now must not be sent to an agent any more.
+	// A process that was paused may handle messages before its timer fires. Jobs that
+	// have expired by now must not be sent to an agent any more.
 	e.expireJobs(now)
 	e.place(now)
 	for _, a := range e.agents {
--- a/dispatch/entry/events.go
+++ b/dispatch/entry/events.go
@@ -9,38 +9,38 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// record keeps an event about a job; contract may be empty.
+// record records an event about a job. The contract may be empty.
 func (e *Entry) record(now time.Time, kind event.Kind, jobID, contract, detail string, value int) {
 	e.opts.Events.Record(now, event.Event{
 		Kind: kind, Job: jobID, Contract: contract, Detail: detail, Value: uint64(max(0, value)),
 	})
 }
 
-// recordPeer keeps an event about an agent.
+// recordPeer records an event about an agent.
 func (e *Entry) recordPeer(now time.Time, kind event.Kind, a *agent, detail string, value uint64) {
 	e.opts.Events.Record(now, event.Event{Kind: kind, Peer: a.hello.Agent, Detail: detail, Value: value})
 }
 
-// recordStanding keeps that an agent gets less work than before, or more.
-func (e *Entry) recordStanding(now time.Time, a *agent, to place.Standing) {
-	if a.standing == to {
+// recordHealthState records a change of an agent's health state.
+func (e *Entry) recordHealthState(now time.Time, a *agent, to place.Standing) {
+	if a.healthState == to {
 		return
 	}
 	kind := map[place.Standing]event.Kind{
 		place.Suspended: event.WorkerSuspended, place.Trial: event.WorkerTrial, place.Open: event.WorkerResumed,
 	}[to]
-	a.standing = to
-	e.recordPeer(now, kind, a, standingTexts[to], 0)
+	a.healthState = to
+	e.recordPeer(now, kind, a, healthStateTexts[to], 0)
 }
 
-// recordTask keeps an event about a task and its agent.
+// recordTask records an event about a task and its agent.
 func (e *Entry) recordTask(now time.Time, kind event.Kind, t *taskState, a *agent, detail string) {
 	e.opts.Events.Record(now, event.Event{
 		Kind: kind, Job: t.job.job.Id, Contract: t.job.job.Contract, Task: t.index, Peer: a.hello.Agent, Detail: detail,
 	})
 }
 
-// recordRefusal keeps that a submission ended without a job.
+// recordRefusal records a submission that was answered without starting a job.
 func (e *Entry) recordRefusal(now time.Time, j *pb.Job, a *pb.Answer) {
 	kind := event.JobRefused
 	if a.Outcome != pb.Outcome_OUTCOME_NOT_RUN {
@@ -49,7 +49,7 @@
 	e.record(now, kind, j.Id, j.Contract, outcomeText(a), 0)
 }
 
-// recordAnswers keeps the answers that Ready hands out.
+// recordAnswers records the answers that Ready returns.
 func (e *Entry) recordAnswers(now time.Time, answers []Ended) {
 	for _, ended := range answers {
 		a, took := ended.Answer, time.Duration(0)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Texts of outcomes in events.
+// outcomeTexts are the texts of outcomes in events.
 var outcomeTexts = map[pb.Outcome]string{
 	pb.Outcome_OUTCOME_COMPLETE: "complete",
 	pb.Outcome_OUTCOME_FAILED:   "failed",
@@ -68,8 +68,8 @@
 	pb.Outcome_OUTCOME_UNKNOWN:  "outcome unknown",
 }
 
-// outcomeText is the outcome with its code and reason; only the first allocates
-// nothing, and it is the common one.
+// outcomeText returns the outcome with its code and message. The common case, an
+// answer without a code, does not allocate.
 func outcomeText(a *pb.Answer) string {
 	text := outcomeTexts[a.Outcome]
 	if a.Code == "" {
@@ -78,11 +78,11 @@
 	return text + ", " + a.Code + ": " + a.Message
 }
 
-// recordSent keeps what a frame to an agent asks for. It is called before the
-// frame's number is given to the tasks placed: one that has a number was sent
-// before, over an older link.
+// recordSent records the contents of a frame to an agent. Call it before the frame's
+// number is assigned to the pending starts: a task that has a number was sent before,
+// over an older link.
 func (e *Entry) recordSent(now time.Time, a *agent, f *pb.EntryFrame) {
-	for _, t := range a.placed {
+	for _, t := range a.pendingStarts {
 		if t.seq != 0 {
 			e.recordTask(now, event.TaskResent, t, a, "over a new link")
 			continue
@@ -102,7 +102,7 @@
 	}
 }
 
-// recordReceived keeps what a frame from an agent tells.
+// recordReceived records the contents of a frame from an agent.
 func (e *Entry) recordReceived(now time.Time, a *agent, f *pb.AgentFrame) {
 	if f.Granted > 0 {
 		e.recordPeer(now, event.CreditsGranted, a, "", uint64(f.Granted))
@@ -137,7 +137,7 @@
 	e.recordNamed(now, name, ev)
 }
 
-// recordNamed keeps an event about a job that is given by its job.Name.
+// recordNamed records an event about the job with the given job.Name.
 func (e *Entry) recordNamed(now time.Time, name string, ev event.Event) {
 	ev.Contract, ev.Job = job.SplitName(name)
 	e.opts.Events.Record(now, ev)
--- a/dispatch/entry/fuzz_test.go
+++ b/dispatch/entry/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/papayahoist/papayahoist/dispatch/agent"
 )
 
-// seed adds a message as bytes.
-func seed(f *testing.F, m proto.Message) {
+// addSeed adds an encoded message to the corpus.
+func addSeed(f *testing.F, m proto.Message) {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		f.Fatal(err)
@@ -19,20 +19,20 @@
 	f.Add(text)
 }
 
-// A process of another release, or one gone wrong, sends frames that make no
-// sense. The entry that reads them serves many callers: it must neither end nor
-// start anything for them.
+// An agent of another release, or a faulty one, sends frames that make no sense.
+// The entry must neither crash, which would affect all its callers, nor start
+// anything because of them.
 func FuzzAgentFrame(f *testing.F) {
-	seed(f, &pb.AgentFrame{Seq: 2, Granted: 1 << 31, Recall: 7, Load: &pb.AgentLoad{Contracts: []*pb.ContractLoad{{Contract: "desk"}}}})
-	seed(f, &pb.AgentFrame{Seq: 2, News: []*pb.TaskNews{{Job: "x", Results: []*pb.TaskResult{{Task: 1 << 31}}}}})
-	seed(f, &pb.AgentFrame{Seq: 2, Fenced: []*pb.FenceReport{{Job: "x", Running: []uint32{1 << 31}}}})
+	addSeed(f, &pb.AgentFrame{Seq: 2, Granted: 1 << 31, Recall: 7, Load: &pb.AgentLoad{Contracts: []*pb.ContractLoad{{Contract: "desk"}}}})
+	addSeed(f, &pb.AgentFrame{Seq: 2, News: []*pb.TaskNews{{Job: "x", Results: []*pb.TaskResult{{Task: 1 << 31}}}}})
+	addSeed(f, &pb.AgentFrame{Seq: 2, Fenced: []*pb.FenceReport{{Job: "x", Running: []uint32{1 << 31}}}})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var frame pb.AgentFrame
 		if proto.Unmarshal(text, &frame) != nil {
 			return
 		}
-		b := newBed(t, 1, contractOf("desk"))
-		// Of these numbers some are old, and the rest come in their turn.
+		b := newFixture(t, 1, contractOf("desk"))
+		// Some of these numbers are stale, and the others arrive in sequence.
 		for frame.Seq = 1; frame.Seq <= 8; frame.Seq++ {
 			frame.Ack = min(frame.Ack, 1)
 			b.entry.Step(b.now, "agent-0", 1, &frame)
@@ -40,15 +40,16 @@
 		b.entry.Tick(b.now.Add(time.Second))
 		for _, out := range b.entry.Ready(b.now).Frames {
 			if len(out.Frame.Starts) > 0 {
-				t.Errorf("a start without a job: %v", out.Frame)
+				t.Errorf("start without a job: %v", out.Frame)
 			}
 		}
 	})
 }
 
-// The frames of the test above are taken in, or it would show nothing.
-func TestFuzzedFramesAreTakenIn(t *testing.T) {
-	b := newBed(t, 1)
+// Checks that the entry applies frames with the numbers used by FuzzAgentFrame;
+// otherwise that test would have no effect.
+func TestFuzzedFramesAreApplied(t *testing.T) {
+	b := newFixture(t, 1)
 	before := b.entry.Counts().Credits
 	for seq := uint64(1); seq <= 8; seq++ {
 		b.entry.Step(b.now, "agent-0", 1, &pb.AgentFrame{Seq: seq, Granted: 1})
@@ -58,9 +59,9 @@
 	}
 }
 
-// What other entries tell of their shares may be nonsense too.
+// The states of shares that other entries send may be invalid, too.
 func FuzzShareState(f *testing.F) {
-	seed(f, &pb.ShareState{Entry: "other", Plan: &pb.SharePlan{
+	addSeed(f, &pb.ShareState{Entry: "other", Plan: &pb.SharePlan{
 		Number: 1 << 63, Allocator: "other", Totals: []*pb.SharePart{{Contract: "desk", Slots: 1 << 31}},
 		Entries: []*pb.EntryShares{{Entry: "other", Parts: []*pb.SharePart{{Contract: "desk"}}}},
 	}})
@@ -69,7 +70,7 @@
 		if proto.Unmarshal(text, &state) != nil {
 			return
 		}
-		b := newBed(t, 1, contractOf("desk"))
+		b := newFixture(t, 1, contractOf("desk"))
 		b.entry.PeersSeen(b.now, []string{"other"}, []string{"desk"})
 		state.Entry = "other"
 		b.entry.SharesSeen(b.now, &state)
@@ -79,11 +80,11 @@
 	})
 }
 
-// An agent serves entries of any release; a frame that makes no sense must not end
-// it, nor have it run more tasks than it has slots.
+// An agent serves entries of any release. A frame that makes no sense must neither
+// crash it nor make it run more tasks than it has slots.
 func FuzzEntryFrame(f *testing.F) {
-	seed(f, &pb.EntryFrame{Seq: 2, Starts: []*pb.StartBatch{{Job: "x", Tasks: []*pb.TaskStart{{Task: 1, MemoryBytes: 1 << 63}}}}})
-	seed(f, &pb.EntryFrame{Seq: 2, Revokes: []*pb.Revoke{{Job: "x"}}, Fences: []*pb.Fence{{}}, Returned: 1 << 31, Want: 1 << 31})
+	addSeed(f, &pb.EntryFrame{Seq: 2, Starts: []*pb.StartBatch{{Job: "x", Tasks: []*pb.TaskStart{{Task: 1, MemoryBytes: 1 << 63}}}}})
+	addSeed(f, &pb.EntryFrame{Seq: 2, Revokes: []*pb.Revoke{{Job: "x"}}, Fences: []*pb.Fence{{}}, Returned: 1 << 31, Want: 1 << 31})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var frame pb.EntryFrame
 		if proto.Unmarshal(text, &frame) != nil {
--- a/dispatch/entry/job.go
+++ b/dispatch/entry/job.go
@@ -14,36 +14,36 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// phase is how far a task has come.
+// phase is the stage of a task's life cycle.
 type phase uint8
 
 const (
-	// waiting: not sent to any agent, or refused by the one it was sent to.
+	// waiting: not sent to any agent, or refused by the agent it was sent to.
 	waiting phase = iota
-	// sent: given to an agent process, which may have started it.
+	// sent: assigned to an agent process, which may have started it.
 	sent
-	// ended: the result is known, or nobody waits for it any more.
+	// ended: the result is known or no longer needed.
 	ended
 )
 
-// jobState is a job from its acceptance until its answer is dropped.
+// jobState is the state of a job from its acceptance until its answer is dropped.
 type jobState struct {
-	name     string // job.Name
-	job      *pb.Job
-	digest   uint64
-	period   uint64 // of the id's home token
-	deadline time.Time
-	heapPos  int
-	tasks    []taskState
-	queued   *place.Job // the tasks that wait
-	class    pb.Class
-	open     int  // tasks that have not ended
-	ran      bool // some task has run, or may have, and that won't change
-	ending   *pb.Answer
-	answer   *pb.Answer
-	answered time.Time
-	size     int // bytes of results in the answer
-	dropped  bool
+	name        string // job.Name
+	job         *pb.Job
+	digest      uint64
+	period      uint64 // of the id's home token
+	deadline    time.Time
+	heapPos     int
+	tasks       []taskState
+	queued      *place.Job // holds the waiting tasks
+	class       pb.Class
+	openTasks   int  // tasks that have not ended
+	mayHaveRun  bool // some task has run or may have run
+	pending     *pb.Answer
+	answer      *pb.Answer
+	answeredAt  time.Time
+	resultBytes int // bytes of results in the answer
+	dropped     bool
 }
 
 type taskState struct {
@@ -52,31 +52,31 @@
 	phase   phase
 	agent   *agent
 	pos     int    // in agent.tasks
-	seq     uint64 // of the frame that carried the start last; zero: none has
+	seq     uint64 // of the last frame that carried the start; zero if none
 	revoked bool
 	start   *pb.TaskStart
-	run     time.Duration // as estimated
+	run     time.Duration // estimated run time
 	result  *pb.TaskResult
-	// refusals counts those of endpoints that did not begin the task.
+	// refusals counts the endpoints' refusals to begin the task.
 	refusals int
 }
 
-// Admission says what became of a submission.
+// Admission is the outcome of a submission.
 type Admission uint8
 
 // Admissions.
 const (
-	// Accepted: the job runs; its answer comes with Ready.
+	// Accepted: the job was accepted. Ready returns its answer.
 	Accepted Admission = iota
-	// Joined: the same job was submitted before and runs.
+	// Joined: the same job was submitted before and has no answer yet.
 	Joined
-	// Answered: the answer is at hand.
+	// Answered: Submit returns the answer.
 	Answered
 )
 
-// Submit takes in a job of this home. A job that was submitted before is joined,
-// never started again, and one that was refused stays refused. The answer is set
-// when the admission is Answered; then nothing was started by this call.
+// Submit submits a job whose home is this entry. A job that was submitted before is
+// joined, never started again, and a refused job stays refused. The answer is set
+// only if the admission is Answered; the call has then started nothing.
 func (e *Entry) Submit(now time.Time, j *pb.Job) (Admission, *pb.Answer) {
 	digest := digestOf(j)
 	name := job.Name(j.Contract, j.Id)
@@ -89,40 +89,41 @@
 		return e.submitKey(now, j, name, digest)
 	}
 	if err != nil || id.Home.Incarnation != e.opts.Hello.Incarnation {
-		return Answered, otherJob(j.Id, jobs.CodeBadRequest, "the id does not name this entry")
+		return Answered, rejectRequest(j.Id, jobs.CodeBadRequest, "the id's home token is not from this entry")
 	}
 	period := id.Home.Period
-	if !e.spent.live(now, period) {
-		// The entry may have run this id and forgotten it since. Starting it again
-		// would be the second start that the caller can't see.
+	if !e.retired.live(now, period) {
+		// The entry may have run this id and forgotten it since. Starting it now could
+		// run the job a second time without the caller noticing.
 		return Answered, unknown(j.Id, jobs.CodeNotFound, "the id's home token has expired")
 	}
-	if v, ok := e.spent.find(period, name); ok {
-		return Answered, spentAnswer(j.Id, v)
+	if v, ok := e.retired.find(period, name); ok {
+		return Answered, retiredAnswer(j.Id, v)
 	}
 	queued, answer := e.admit(now, j, name)
 	if answer != nil {
 		e.recordRefusal(now, j, answer)
-		e.spent.add(now, period, name, verdictOf(answer.Code))
+		e.retired.add(now, period, name, verdictOf(answer.Code))
 		return Answered, answer
 	}
-	e.takeIn(now, j, name, period, digest, queued)
+	e.acceptJob(now, j, name, period, digest, queued)
 	return Accepted, nil
 }
 
-func (e *Entry) takeIn(now time.Time, j *pb.Job, name string, period, digest uint64, queued *place.Job) {
+func (e *Entry) acceptJob(now time.Time, j *pb.Job, name string, period, digest uint64, queued *place.Job) {
 	e.record(now, event.JobAccepted, j.Id, j.Contract, j.Kind, len(j.Tasks))
-	e.accept(now, j, name, period, digest, queued)
+	e.addJob(now, j, name, period, digest, queued)
 }
 
-func spentAnswer(id string, v verdict) *pb.Answer {
+func retiredAnswer(id string, v verdict) *pb.Answer {
 	if v == ranBefore {
 		return unknown(id, jobs.CodeNotFound, "the job has ended and its answer is no longer kept")
 	}
 	return refuse(id, refusalCodes[v], "the id was refused before; a new attempt takes a new id", 0)
 }
 
-// digestOf tells bodies apart that are sent under the same id.
+// digestOf returns a hash that distinguishes different bodies under the same id. It
+// is never zero.
 func digestOf(j *pb.Job) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -152,8 +153,8 @@
 	return Joined, nil
 }
 
-// admit returns a new job's tasks as the scheduler takes them, or why the job
-// must not run.
+// admit returns a new job's tasks for the scheduler, or the answer that refuses the
+// job.
 func (e *Entry) admit(now time.Time, j *pb.Job, name string) (*place.Job, *pb.Answer) {
 	c := e.contract(now, j.Contract)
 	switch {
@@ -164,7 +165,7 @@
 	case len(j.Tasks) == 0 || len(j.Tasks) > jobs.MaxTasks:
 		return nil, refuse(j.Id, jobs.CodeBadRequest, "a job has 1 to 160 tasks", 0)
 	case e.deadlines.Len() >= e.opts.MaxJobs:
-		return nil, refuse(j.Id, jobs.CodeOverloaded, "the entry holds as many jobs as it can", time.Second)
+		return nil, refuse(j.Id, jobs.CodeOverloaded, "the entry has reached its limit of open jobs", time.Second)
 	}
 	j.TimeoutMs = cmp.Or(j.TimeoutMs, c.DefaultTimeoutMs)
 	queued, request := e.plan(now, j, c)
@@ -175,9 +176,9 @@
 	return queued, nil
 }
 
-func (e *Entry) accept(now time.Time, j *pb.Job, name string, period, digest uint64, queued *place.Job) {
+func (e *Entry) addJob(now time.Time, j *pb.Job, name string, period, digest uint64, queued *place.Job) {
 	js := &jobState{
-		name: name, job: j, digest: digest, open: len(j.Tasks), period: period,
+		name: name, job: j, digest: digest, openTasks: len(j.Tasks), period: period,
 		deadline: now.Add(time.Duration(j.TimeoutMs) * time.Millisecond),
 		tasks:    make([]taskState, len(j.Tasks)), queued: queued, class: e.policy.contracts[j.Contract].GetClass(),
 	}
@@ -196,7 +197,8 @@
 	e.deadlines.Push(js)
 }
 
-// Fetch returns the answer of a job, or that it is known and runs.
+// Fetch returns the answer of a job, nil while it has none, and whether the job is
+// known.
 func (e *Entry) Fetch(jobID, contract string) (answer *pb.Answer, known bool) {
 	js := e.jobs[job.Name(contract, jobID)]
 	if js == nil {
@@ -205,14 +207,15 @@
 	return js.answer, true
 }
 
-// Cancel ends a job of the contract. It does nothing for an unknown or ended one.
+// Cancel ends a job of the contract. It does nothing if the job is unknown or has
+// ended.
 func (e *Entry) Cancel(now time.Time, jobID, contract string) (answer *pb.Answer, known bool) {
 	js := e.jobs[job.Name(contract, jobID)]
 	if js == nil {
 		return nil, false
 	}
 	if js.answer == nil {
-		e.record(now, event.JobCancelled, jobID, contract, "", js.open)
+		e.record(now, event.JobCancelled, jobID, contract, "", js.openTasks)
 		e.endEarly(now, js, jobs.CodeCancelled, "cancelled by the caller")
 	}
 	return js.answer, true
@@ -221,46 +224,47 @@
 func (e *Entry) expireJobs(now time.Time) {
 	for e.deadlines.Len() > 0 && !now.Before(e.deadlines.First().deadline) {
 		js := e.deadlines.First()
-		if js.ending != nil {
-			e.answerEnded(now, js)
+		if js.pending != nil {
+			e.answerPending(now, js)
 			continue
 		}
 		e.endEarly(now, js, jobs.CodeDeadline, "the deadline has passed")
 	}
 }
 
-// endEarly ends a job that has tasks left. Those not sent are dropped, and the
-// others revoked. Where the agents' proof that nothing has run may come within
-// RevokeWait, the answer waits for it: "not run" is worth more to the caller than
+// endEarly ends a job that has unfinished tasks. Tasks not sent yet are dropped, and
+// the others revoked. If the agents may still confirm that nothing has run, the
+// answer waits up to RevokeWait for it: "not run" is worth more to the caller than
 // "failed".
 func (e *Entry) endEarly(now time.Time, js *jobState, code jobs.Code, message string) {
-	if js.ending != nil {
+	if js.pending != nil {
 		return
 	}
-	js.ending = &pb.Answer{Job: js.job.Id, Code: string(code), Message: message}
+	js.pending = &pb.Answer{Job: js.job.Id, Code: string(code), Message: message}
 	reachable := e.revokeAll(js)
-	if js.open == 0 || js.ran || !reachable {
-		e.answerEnded(now, js)
+	if js.openTasks == 0 || js.mayHaveRun || !reachable {
+		e.answerPending(now, js)
 		return
 	}
 	js.deadline = now.Add(e.opts.RevokeWait)
 	e.deadlines.Fix(js.heapPos)
 }
 
-// answerEnded answers a job that is ending with what is proven by now.
-func (e *Entry) answerEnded(now time.Time, js *jobState) {
-	js.ending.Outcome = pb.Outcome_OUTCOME_FAILED
-	if js.open == 0 && !js.ran {
-		js.ending.Outcome = pb.Outcome_OUTCOME_NOT_RUN
+// answerPending sends the pending answer of a job. The outcome is "not run" if that
+// is confirmed by now, and "failed" otherwise.
+func (e *Entry) answerPending(now time.Time, js *jobState) {
+	js.pending.Outcome = pb.Outcome_OUTCOME_FAILED
+	if js.openTasks == 0 && !js.mayHaveRun {
+		js.pending.Outcome = pb.Outcome_OUTCOME_NOT_RUN
 	}
-	e.answer(now, js, js.ending)
+	e.answer(now, js, js.pending)
 }
 
-// revokeAll withdraws what has not ended, with one message per agent. It reports
-// whether every agent that may have started something has a link.
+// revokeAll withdraws or revokes the unfinished tasks, with one message per agent.
+// It reports whether every agent that may have started one has a link.
 func (e *Entry) revokeAll(js *jobState) (reachable bool) {
 	reachable = true
-	e.drop(js)
+	e.dropWaiting(js)
 	for i := range js.tasks {
 		t := &js.tasks[i]
 		if t.phase != sent {
@@ -276,69 +280,69 @@
 	return reachable
 }
 
-// unspend gives back the credits of a start that is not sent after all.
-func (e *Entry) unspend(a *agent, t *taskState) {
+// refundCredits restores the credits of a start that will not be sent.
+func (e *Entry) refundCredits(a *agent, t *taskState) {
 	if known := e.policy.sched.Pool.Agent(a.hello.Agent); known != nil && a.session.IsUp() {
 		e.policy.sched.Pool.Grant(known, known.Units(t.start.MemoryBytes))
 	}
 }
 
-// withdraw takes back a start that has not left this process.
+// withdraw cancels a start that has not left this process.
 func (e *Entry) withdraw(t *taskState) {
 	a := t.agent
 	a.untrack(t)
-	e.unspend(a, t)
+	e.refundCredits(a, t)
 	e.release(a, t)
 	t.phase = ended
-	t.job.open--
+	t.job.openTasks--
 }
 
-// answer ends a job. The answer is complete with every result, or has none.
+// answer ends a job. The answer carries every result, or none.
 func (e *Entry) answer(now time.Time, js *jobState, a *pb.Answer) {
 	js.answer = a
-	js.answered = now
+	js.answeredAt = now
 	for _, r := range a.Results {
-		js.size += len(r.Body)
+		js.resultBytes += len(r.Body)
 	}
-	e.answerBytes += js.size
+	e.answerBytes += js.resultBytes
 	e.deadlines.Remove(js.heapPos)
-	e.ended = append(e.ended, js)
+	e.answeredJobs = append(e.answeredJobs, js)
 	e.ready.Answers = append(e.ready.Answers, Ended{Contract: js.job.Contract, Answer: a})
 }
 
-// taskEnded takes in a task's result.
+// taskEnded applies a task's result.
 func (e *Entry) taskEnded(now time.Time, t *taskState, res *pb.TaskResult) {
 	js := t.job
 	t.phase = ended
 	t.result = res
-	js.ran = true
-	js.open--
+	js.mayHaveRun = true
+	js.openTasks--
 	if js.answer != nil {
-		e.finishDrop(now, js)
+		e.removeDropped(now, js)
 		return
 	}
 	switch res.Outcome {
 	case pb.Outcome_OUTCOME_COMPLETE:
 		switch {
-		case js.open == 0 && js.allComplete():
+		case js.openTasks == 0 && js.allComplete():
 			e.complete(now, js)
-		case js.ending != nil:
-			e.answerEnded(now, js)
+		case js.pending != nil:
+			e.answerPending(now, js)
 		}
 	case pb.Outcome_OUTCOME_UNKNOWN:
 		e.revokeAll(js)
 		e.answer(now, js, unknown(js.job.Id, jobs.CodeAgentLost, res.Error))
 	default:
-		if js.ending != nil {
-			e.answerEnded(now, js)
+		if js.pending != nil {
+			e.answerPending(now, js)
 			return
 		}
 		e.endEarly(now, js, jobs.CodeTaskFailed, res.Error)
 	}
 }
 
-// allComplete reports whether each task has a result; some may have been dropped
-// or refused while the job was ending.
+// allComplete reports whether every task has a complete result. Tasks may have been
+// dropped or refused while the job was ending.
 func (js *jobState) allComplete() bool {
 	for i := range js.tasks {
 		if r := js.tasks[i].result; r == nil || r.Outcome != pb.Outcome_OUTCOME_COMPLETE {
@@ -356,14 +360,14 @@
 	e.answer(now, js, a)
 }
 
-// refused takes in that an agent has not started a task and never will under the
-// start it was sent.
-func (e *Entry) refused(now time.Time, t *taskState, res *pb.TaskResult) {
-	if res.Error == job.RefusedFenced && t.job.ending == nil && t.job.answer == nil {
-		// Another entry took this one for dead and is gathering the job's results;
-		// starting the task elsewhere could contradict what it tells the caller.
+// taskRefused handles an agent's confirmation that it has not started a task and
+// never will for the start that it was sent.
+func (e *Entry) taskRefused(now time.Time, t *taskState, res *pb.TaskResult) {
+	if res.Error == job.RefusedFenced && t.job.pending == nil && t.job.answer == nil {
+		// Another entry considers this one dead and is recovering the job. Starting
+		// the task elsewhere could contradict the answer that it gives the caller.
 		t.phase = ended
-		t.job.open--
+		t.job.openTasks--
 		e.endEarly(now, t.job, jobs.CodeHomeLost, "another entry took over the job's recovery")
 		return
 	}
@@ -373,55 +377,56 @@
 	e.requeue(now, t)
 }
 
-// requeue puts back a task that its agent has proven not to run.
+// requeue makes a task wait again after its agent has confirmed that it did not run.
 func (e *Entry) requeue(now time.Time, t *taskState) {
 	js := t.job
 	t.agent, t.seq, t.revoked = nil, 0, false
-	if js.answer == nil && js.ending == nil {
+	if js.answer == nil && js.pending == nil {
 		t.phase = waiting
 		e.policy.sched.PutBack(js.queued, place.Task{Number: t.index, Run: t.run, Memory: t.start.MemoryBytes})
 		return
 	}
 	t.phase = ended
-	js.open--
+	js.openTasks--
 	switch {
 	case js.answer != nil:
-		e.finishDrop(now, js)
-	case js.open == 0:
-		e.answerEnded(now, js)
+		e.removeDropped(now, js)
+	case js.openTasks == 0:
+		e.answerPending(now, js)
 	}
 }
 
-// forgetOld drops answers that were kept long enough, and the oldest of those
-// that are too many. Their ids stay spent.
-func (e *Entry) forgetOld(now time.Time) {
-	for len(e.ended) > 0 {
-		js := e.ended[0]
-		if len(e.ended) <= e.opts.MaxJobs && e.answerBytes <= e.opts.MaxAnswerBytes &&
-			now.Before(js.answered.Add(e.opts.AnswerTTL)) {
+// dropAnswers drops answers older than AnswerTTL, and the oldest ones beyond MaxJobs
+// and MaxAnswerBytes. Their ids stay retired.
+func (e *Entry) dropAnswers(now time.Time) {
+	for len(e.answeredJobs) > 0 {
+		js := e.answeredJobs[0]
+		if len(e.answeredJobs) <= e.opts.MaxJobs && e.answerBytes <= e.opts.MaxAnswerBytes &&
+			now.Before(js.answeredAt.Add(e.opts.AnswerTTL)) {
 			return
 		}
-		e.ended = e.ended[1:]
-		e.answerBytes -= js.size
+		e.answeredJobs = e.answeredJobs[1:]
+		e.answerBytes -= js.resultBytes
 		v := ranBefore
 		if js.answer.Outcome == pb.Outcome_OUTCOME_NOT_RUN {
 			v = verdictOf(js.answer.Code)
 		}
 		if js.period == keyPeriod {
-			e.spent.addKey(now, js.name, v)
+			e.retired.addKey(now, js.name, v)
 		} else {
-			e.spent.add(now, js.period, js.name, v)
+			e.retired.add(now, js.period, js.name, v)
 		}
-		js.answer = spentAnswer(js.job.Id, v)
-		if js.open > 0 {
+		js.answer = retiredAnswer(js.job.Id, v)
+		if js.openTasks > 0 {
 			js.job = withoutPayloads(js.job)
 		}
 		js.dropped = true
-		e.finishDrop(now, js)
+		e.removeDropped(now, js)
 	}
 }
 
-// withoutPayloads is what late results of a job's tasks are judged by.
+// withoutPayloads returns a copy of a job with the fields that results arriving after
+// the answer was dropped are still evaluated with.
 func withoutPayloads(j *pb.Job) *pb.Job {
 	out := &pb.Job{Id: j.Id, Contract: j.Contract, Kind: j.Kind, TimeoutMs: j.TimeoutMs}
 	for _, t := range j.Tasks {
@@ -430,10 +435,10 @@
 	return out
 }
 
-// finishDrop forgets a job whose answer was dropped, once no agent holds a task
-// of it: until then a late result must find its task.
-func (e *Entry) finishDrop(_ time.Time, js *jobState) {
-	if js.dropped && js.open == 0 {
+// removeDropped removes a job whose answer was dropped, once no agent holds any of
+// its tasks: until then a result that still arrives must find its task.
+func (e *Entry) removeDropped(_ time.Time, js *jobState) {
+	if js.dropped && js.openTasks == 0 {
 		delete(e.jobs, js.name)
 	}
 }
@@ -449,17 +454,17 @@
 	return &pb.Answer{Job: id, Outcome: pb.Outcome_OUTCOME_UNKNOWN, Code: string(code), Message: message}
 }
 
-// otherJob answers a request that is not about the job of that id, whose
-// outcome therefore stays open.
-func otherJob(id string, code jobs.Code, message string) *pb.Answer {
+// rejectRequest rejects a request that does not concern the job of that id. The
+// answer has no outcome, since that of the job is unaffected.
+func rejectRequest(id string, code jobs.Code, message string) *pb.Answer {
 	return &pb.Answer{Job: id, Code: string(code), Message: message}
 }
 
 func conflict(id string) *pb.Answer {
-	return otherJob(id, jobs.CodeConflict, "the id was used for another body, of which nothing was started")
+	return rejectRequest(id, jobs.CodeConflict, "the id was used for another body, of which nothing was started")
 }
 
-// Before implements indexheap.Item: the next deadline first.
+// Before implements indexheap.Item. The earliest deadline comes first.
 func (js *jobState) Before(o *jobState) bool { return js.deadline.Before(o.deadline) }
 
 // SetPos implements indexheap.Item.
--- a/dispatch/entry/place.go
+++ b/dispatch/entry/place.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// place sends waiting tasks to agents that have granted credits, and tells the
-// agents how many more the entry could use.
+// place sends waiting tasks to agents that have granted credits, and advertises to
+// the agents how many more the entry could use.
 func (e *Entry) place(now time.Time) {
-	if starved := e.policy.starved; !starved.IsZero() && now.Sub(starved) >= e.opts.OverbookAfter {
+	if since := e.policy.starvedSince; !since.IsZero() && now.Sub(since) >= e.opts.OverbookAfter {
 		e.policy.sched.Pool.Overbook()
 	}
 	for p, ok := e.policy.sched.Next(now); ok; p, ok = e.policy.sched.Next(now) {
@@ -16,33 +16,33 @@
 			a.track(&js.tasks[p.Tasks[i].Number])
 		}
 	}
-	e.policy.opensAt = e.policy.limits.OpensAt(now)
-	e.hurry(now)
-	e.noteStarved(now)
-	e.tellWant()
+	e.policy.rateOpensAt = e.policy.limits.OpensAt(now)
+	e.requestExchange(now)
+	e.trackStarvation(now)
+	e.advertiseDemand()
 }
 
-func (e *Entry) noteStarved(now time.Time) {
+func (e *Entry) trackStarvation(now time.Time) {
 	p := e.policy
 	switch {
 	case !p.sched.Queue().Ready():
-		p.starved = time.Time{}
-	case p.starved.IsZero():
-		p.starved = now
+		p.starvedSince = time.Time{}
+	case p.starvedSince.IsZero():
+		p.starvedSince = now
 	}
 }
 
-// tellWant tells the linked agents the unmet demand. Only demand that is new is
-// worth a frame of its own; agents count down what they have granted.
-func (e *Entry) tellWant() {
+// advertiseDemand sends the unmet demand to the linked agents. Only new demand is
+// worth a frame of its own: agents deduct the credits that they grant.
+func (e *Entry) advertiseDemand() {
 	for _, a := range e.agents {
 		if !a.session.IsUp() || a.leaving {
 			continue
 		}
 		n := uint32(e.policy.sched.Want(e.policy.sched.Pool.Agent(a.hello.Agent)))
-		if n > 0 && a.wanted == 0 {
+		if n > 0 && a.sentDemand == 0 {
 			a.dirty = true
 		}
-		a.wanted = n
+		a.sentDemand = n
 	}
 }
--- a/dispatch/entry/policy.go
+++ b/dispatch/entry/policy.go
@@ -14,28 +14,30 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// policy is what the entry decides by: the order of waiting tasks and the agents
-// for them, the contracts' limits, the sizes of tasks, and the agents' standing.
+// policy holds the state that the entry's decisions depend on: the order of waiting
+// tasks and the agents for them, the contracts' limits, the estimated sizes of
+// tasks, and the agents' health.
 type policy struct {
-	sched     *place.Scheduler
-	limits    *limit.Limiter
-	shares    *limit.Shares
-	sizes     *estimate.Estimator
-	health    *health.Judge
-	contracts map[string]*pb.Contract // as last applied
-	checked   time.Time               // when waiting jobs were last looked through
-	// hurried is when an exchange with the other entries was asked for last, and
-	// hurryAfter how long until the next.
-	hurried    time.Time
-	hurryAfter time.Duration
-	// starved is since when tasks wait and no agent has a slot; zero: they don't.
-	starved time.Time
-	opensAt time.Time // when a rate lets a contract go on
-}
-
-// checkEvery is how often waiting jobs are checked for deadlines that can't be
+	sched       *place.Scheduler
+	limits      *limit.Limiter
+	shares      *limit.Shares
+	sizes       *estimate.Estimator
+	health      *health.Judge
+	contracts   map[string]*pb.Contract // as last applied
+	lastRecheck time.Time               // when recheck last ran in full
+	// exchangeRequested is when an exchange with the other entries was last
+	// requested, and exchangeBackoff the least time until the next request.
+	exchangeRequested time.Time
+	exchangeBackoff   time.Duration
+	// starvedSince is when tasks began to wait because no agent has a free slot; zero
+	// if none wait.
+	starvedSince time.Time
+	rateOpensAt  time.Time // when a rate limit next admits work of a blocked contract
+}
+
+// checkInterval is how often waiting jobs are checked for deadlines that can't be
 // met any more, and contracts for changes.
-const checkEvery = 50 * time.Millisecond
+const checkInterval = 50 * time.Millisecond
 
 func newPolicy(o Options) *policy {
 	limits := limit.NewLimiter()
@@ -49,7 +51,7 @@
 	}
 }
 
-// contract returns the contract in force, and applies it if it has changed.
+// contract returns the contract in force, and applies its limits if it has changed.
 func (e *Entry) contract(now time.Time, name string) *pb.Contract {
 	c := e.opts.Contract(name)
 	p := e.policy
@@ -82,19 +84,20 @@
 	return place.Normal
 }
 
-// applyShares puts this entry's parts of the contracts in force.
+// applyShares applies this entry's shares of the contracts to the limits.
 func (e *Entry) applyShares(now time.Time) {
 	p := e.policy
 	for name := range p.contracts {
 		slots, total := p.shares.Part(name)
 		if p.limits.SetPart(name, slots, total, now) {
-			p.hurryAfter = 0
+			p.exchangeBackoff = 0
 			p.sched.Unblock(name)
 		}
 	}
 }
 
-// plan estimates a job's tasks.
+// plan returns a job's tasks with their estimated sizes, and the request to admit
+// them.
 func (e *Entry) plan(now time.Time, j *pb.Job, c *pb.Contract) (*place.Job, limit.Request) {
 	_, largest := e.policy.sched.Pool.Largest()
 	largest = cmp.Or(largest, math.MaxUint64)
@@ -107,7 +110,7 @@
 	for i, t := range j.Tasks {
 		s := e.policy.sizes.Estimate(j.Contract, j.Kind, declaredOf(t), now)
 		if !s.Certain {
-			// A guess must not keep a job from running at all.
+			// An uncertain estimate must not make a job unplaceable.
 			s.Memory = min(s.Memory, largest, c.MemoryBytes)
 		}
 		w.Tasks[i] = place.Task{Number: uint32(i), Run: s.Run, Memory: s.Memory}
@@ -125,25 +128,25 @@
 	return estimate.Declared{Memory: t.MemoryBytes, Run: time.Duration(t.RunMillis) * time.Millisecond}
 }
 
-// refusal returns why a new job is not taken, nil when it may run. Nothing of it
-// has been sent to any agent, so "not run" is true.
+// refusal returns the answer that refuses a new job, or nil if it may run. No task
+// of it has been sent to any agent, so the outcome is "not run".
 func (e *Entry) refusal(now time.Time, j *pb.Job, r limit.Request) *pb.Answer {
 	p := e.policy
 	r.Waiting = p.sched.WaitingOf(j.Contract)
-	r.Entries = len(e.others) + 1
+	r.Entries = len(e.otherEntries) + 1
 	r.QueueWait = p.sched.Queue().Wait(j.Contract, r.Work, p.sched.Pool.Reach())
 	if refused := p.limits.Admit(r, now); refused != nil {
 		return refuse(j.Id, refused.Code, refused.Message, refused.RetryAfter)
 	}
-	if !e.makeRoom(now, j) {
+	if !e.shedLower(now, j) {
 		return refuse(j.Id, jobs.CodeOverloaded, "too many tasks wait at the entry", time.Second)
 	}
 	return nil
 }
 
-// makeRoom sheds waiting jobs of lower classes when too many tasks wait. None of
-// their tasks has been sent.
-func (e *Entry) makeRoom(now time.Time, j *pb.Job) bool {
+// shedLower sheds waiting jobs of lower classes while too many tasks wait, and
+// reports whether the job's tasks fit then. None of the tasks shed has been sent.
+func (e *Entry) shedLower(now time.Time, j *pb.Job) bool {
 	p := e.policy
 	for p.sched.Waiting()+len(j.Tasks) > e.opts.MaxWaiting {
 		victim := p.sched.Queue().Victim(classOf(p.contracts[j.Contract]))
@@ -155,15 +158,15 @@
 	return true
 }
 
-// drop takes a job's waiting tasks out of the order.
-func (e *Entry) drop(js *jobState) {
+// dropWaiting removes a job's waiting tasks from the queue.
+func (e *Entry) dropWaiting(js *jobState) {
 	for _, w := range e.policy.sched.Remove(js.queued) {
 		js.tasks[w.Number].phase = ended
-		js.open--
+		js.openTasks--
 	}
 }
 
-// release gives back what a task took at an agent and of its contract.
+// release releases the capacity that a task held at its agent and in its contract.
 func (e *Entry) release(a *agent, t *taskState) {
 	p := e.policy
 	if known := p.sched.Pool.Agent(a.hello.Agent); known != nil {
@@ -175,18 +178,18 @@
 	}
 }
 
-// learn takes in a result for the estimates and the agent's standing.
-func (e *Entry) learn(now time.Time, a *agent, t *taskState, res *pb.TaskResult) {
+// recordOutcome updates the size estimates and the agent's health from a result.
+func (e *Entry) recordOutcome(now time.Time, a *agent, t *taskState, res *pb.TaskResult) {
 	complete := res.Outcome == pb.Outcome_OUTCOME_COMPLETE
 	failed := res.Outcome == pb.Outcome_OUTCOME_FAILED
 	if !complete && !failed || (failed && t.job.answer != nil) {
-		// Not run, or stopped because nobody waits for it any more.
+		// The task did not run, or was stopped because its job has been answered.
 		return
 	}
 	j := t.job.job
 	run := time.Duration(res.RunMillis) * time.Millisecond
 	if complete && !t.job.dropped {
-		// A job that was dropped has no declarations to compare with any more.
+		// The payloads of a dropped job are gone, so its declarations can't be compared.
 		e.policy.sizes.Report(j.Contract, j.Kind, estimate.Usage{
 			Memory: res.PeakMemoryBytes, Run: run, Declared: declaredOf(j.Tasks[t.index]),
 		}, now)
@@ -195,18 +198,18 @@
 	e.updateAgent(now, a)
 }
 
-// updateAgent tells the scheduler what is known of an agent.
+// updateAgent updates the scheduler's view of an agent.
 func (e *Entry) updateAgent(now time.Time, a *agent) *place.Agent {
 	name := a.hello.Agent
-	standing := e.policy.health.Standing(name, now)
-	e.recordStanding(now, a, standing)
+	state := e.policy.health.Standing(name, now)
+	e.recordHealthState(now, a, state)
 	if !a.session.IsUp() || a.leaving {
-		standing = place.Suspended
+		state = place.Suspended
 	}
 	return e.policy.sched.Pool.Update(place.Agent{
 		ID: name, Domain: a.hello.FailureDomain, Rack: a.hello.Rack, Distance: e.distance(a),
 		Slots: int(a.hello.Slots), Memory: a.hello.MemoryBytes,
-		Slowness: e.policy.health.Slowness(name), Standing: standing,
+		Slowness: e.policy.health.Slowness(name), Standing: state,
 	})
 }
 
@@ -217,18 +220,19 @@
 	return e.opts.DomainRoundTrip
 }
 
-// check looks through waiting jobs and agents for what time alone has changed.
-func (e *Entry) check(now time.Time) {
+// recheck applies changes that come with time alone: limits that open, contracts,
+// shares, agents' health and waiting jobs that have become infeasible.
+func (e *Entry) recheck(now time.Time) {
 	p := e.policy
 	p.limits.Open(now, p.sched.Unblock)
-	if now.Sub(p.checked) < checkEvery {
+	if now.Sub(p.lastRecheck) < checkInterval {
 		return
 	}
-	p.checked = now
+	p.lastRecheck = now
 	for name := range p.contracts {
 		e.contract(now, name)
 	}
-	e.demand()
+	e.updateDemand()
 	if p.shares.Tick(now) {
 		e.applyShares(now)
 	}
@@ -243,10 +247,10 @@
 	}
 }
 
-// nextCheck is when check is due, zero while nothing waits.
-func (e *Entry) nextCheck() time.Time {
+// nextRecheck returns when recheck is due, or zero while no task waits.
+func (e *Entry) nextRecheck() time.Time {
 	if e.policy.sched.Waiting() == 0 {
 		return time.Time{}
 	}
-	return link.Earlier(e.policy.checked.Add(checkEvery), e.policy.opensAt)
+	return link.Earlier(e.policy.lastRecheck.Add(checkInterval), e.policy.rateOpensAt)
 }
--- a/dispatch/entry/policy_test.go
+++ b/dispatch/entry/policy_test.go
@@ -14,9 +14,9 @@
 
 const gib = 1 << 30
 
-// bed is one entry with agents that run each task for a fixed time. Frames take
-// no time.
-type bed struct {
+// fixture is one entry with agents. The run function sets the time and result of each
+// task. Frames take no time.
+type fixture struct {
 	t       *testing.T
 	now     time.Time
 	entry   *entry.Entry
@@ -36,8 +36,8 @@
 
 var start = time.Unix(1000, 0)
 
-func newBed(t *testing.T, agents int, contracts ...*pb.Contract) *bed {
-	b := &bed{
+func newFixture(t *testing.T, agents int, contracts ...*pb.Contract) *fixture {
+	b := &fixture{
 		t: t, now: start, agents: map[string]*agent.Agent{},
 		running: map[string][]runningTask{}, answers: map[string]*pb.Answer{},
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// settle carries messages until none is left.
-func (b *bed) settle() {
+// settle delivers messages until none is left.
+func (b *fixture) settle() {
 	for {
 		r := b.entry.Ready(b.now)
 		for _, a := range r.Answers {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (b *bed) settleAgent(name string) int {
+func (b *fixture) settleAgent(name string) int {
 	r := b.agents[name].Ready(b.now)
 	for _, run := range r.Run {
 		takes, result := b.run(name, run)
@@ -115,8 +115,8 @@
 	return len(r.Frames)
 }
 
-// advance lets time pass in steps of 10 ms.
-func (b *bed) advance(d time.Duration) {
+// advance advances the time in steps of 10 ms.
+func (b *fixture) advance(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.now = b.now.Add(10 * time.Millisecond)
 		for i := range len(b.agents) {
@@ -137,7 +137,7 @@
 	}
 }
 
-func (b *bed) submit(contract string, tasks int, change func(*pb.Job)) (id string, refused *pb.Answer) {
+func (b *fixture) submit(contract string, tasks int, change func(*pb.Job)) (id string, refused *pb.Answer) {
 	b.ids++
 	j := &pb.Job{Id: b.entry.Token(b.now).String() + "." + fmt.Sprint(b.ids), Contract: contract, Kind: "k"}
 	for range tasks {
@@ -151,8 +151,8 @@
 	return j.Id, refused
 }
 
-// A customer submits far beyond its contract. Workers would be full of it, and
-// others would wait.
+// A customer submits far more work than its contract allows. Without the limit it
+// would occupy all workers and delay other customers.
 func TestConcurrencyAndMemoryOfContract(t *testing.T) {
 	byTasks, byMemory := contractOf("tasks"), contractOf("memory")
 	byTasks.Concurrency = 5
@@ -161,7 +161,7 @@
 		contract *pb.Contract
 		want     int
 	}{{byTasks, 5}, {byMemory, 7}} {
-		b := newBed(t, 3, c.contract)
+		b := newFixture(t, 3, c.contract)
 		id, refused := b.submit(c.contract.Name, 40, nil)
 		if refused != nil {
 			t.Fatal(refused)
@@ -173,8 +173,8 @@
 	}
 }
 
-func TestJobThatNeverFitsIsRefused(t *testing.T) {
-	b := newBed(t, 3, contractOf("c"))
+func TestOversizedJobRefused(t *testing.T) {
+	b := newFixture(t, 3, contractOf("c"))
 	_, refused := b.submit("c", 3, func(j *pb.Job) { j.Tasks[1].MemoryBytes = 33 * gib })
 	if refused.GetOutcome() != pb.Outcome_OUTCOME_NOT_RUN || refused.GetCode() != string(jobs.CodeDoesNotFit) {
 		t.Errorf("got %v", refused)
@@ -184,10 +184,11 @@
 	}
 }
 
-// Tasks take half of a worker each, and workers start what they are given. With a
-// credit for each slot they would run out of memory, and all tasks there fail.
+// Each task takes half of a worker's memory, and workers start whatever they are
+// sent. If a task took only one slot's credit, workers would run out of memory and
+// fail all their tasks.
 func TestMemoryOfWorkerIsNeverExceeded(t *testing.T) {
-	b := newBed(t, 2, contractOf("c"))
+	b := newFixture(t, 2, contractOf("c"))
 	id, _ := b.submit("c", 12, func(j *pb.Job) {
 		for _, t := range j.Tasks {
 			t.MemoryBytes = 16 * gib
@@ -199,10 +200,10 @@
 	}
 }
 
-// One customer sends ten times what it may while another sends its usual work.
-// The other's callers must not notice.
-func TestNoisyCustomerDelaysNobody(t *testing.T) {
-	b := newBed(t, 3, contractOf("noisy"), contractOf("quiet"))
+// One customer submits ten times its allowed load while another submits its usual
+// load. The second customer's jobs must not be delayed.
+func TestNoisyCustomerDoesNotDelayOthers(t *testing.T) {
+	b := newFixture(t, 3, contractOf("noisy"), contractOf("quiet"))
 	for range 20 {
 		b.submit("noisy", 100, nil)
 	}
@@ -215,10 +216,10 @@
 	}
 }
 
-// Load is twice of what the site can do, and callers ask with a deadline. Jobs
-// taken in and not finished would cost slots for nothing.
-func TestOverloadRefusesBeforeItCostsAMessage(t *testing.T) {
-	b := newBed(t, 3, contractOf("c"))
+// The load is twice the site's capacity, and jobs have a deadline. Jobs that are
+// admitted but not finished in time would waste slots.
+func TestOverloadRefusedAtAdmission(t *testing.T) {
+	b := newFixture(t, 3, contractOf("c"))
 	served, failed := 0, 0
 	var ids []string
 	for range 500 {
@@ -239,24 +240,24 @@
 			failed++
 		}
 	}
-	// 24 slots of 10 tasks a second for 10 s.
+	// 24 slots run 10 tasks a second each for 10 s.
 	if served < 2160 || failed > len(ids)/20 {
-		t.Errorf("served %d tasks of 2400 possible; %d of %d jobs taken in had no answer in time", served, failed, len(ids))
+		t.Errorf("served %d tasks of 2400 possible; %d of %d admitted jobs had no answer in time", served, failed, len(ids))
 	}
 }
 
-// One worker fails whatever it starts, at once, and is free again at once. Left
-// alone it takes most of the work, and most jobs fail.
+// One worker fails every task immediately and is then free again. Without health
+// checks it would attract most of the work, and most jobs would fail.
 func TestFastFailingWorkerAttractsNoWork(t *testing.T) {
-	b := newBed(t, 4, contractOf("c"))
-	usual := b.run
+	b := newFixture(t, 4, contractOf("c"))
+	defaultRun := b.run
 	starts := map[string]int{}
 	b.run = func(name string, r agent.Run) (time.Duration, *pb.TaskResult) {
 		starts[name]++
 		if name == "agent-1" {
 			return 10 * time.Millisecond, &pb.TaskResult{Outcome: pb.Outcome_OUTCOME_FAILED, Error: "broken", RunMillis: 1}
 		}
-		return usual(name, r)
+		return defaultRun(name, r)
 	}
 	for range 100 {
 		b.submit("c", 1, nil)
--- a/dispatch/entry/recover.go
+++ b/dispatch/entry/recover.go
@@ -12,37 +12,38 @@
 	"github.com/papayahoist/papayahoist/dispatch/link"
 )
 
-// recovery gathers what the agents know of a job whose home is gone. It starts
-// nothing: the answer is complete when every result is found, and otherwise
-// "outcome unknown".
+// recovery collects the results that agents hold for a job whose home is gone. It
+// starts nothing: the answer is "complete" if every result is found, "failed" if a
+// task is found to have failed, and otherwise "outcome unknown".
 type recovery struct {
 	name      string
 	job       *pb.Job
 	digest    uint64
 	homeEnded bool
 
-	deadline time.Time       // ends it in any case
-	promptBy time.Time       // ends the wait for agents that can't be reached
-	asked    map[*agent]bool // true: has answered
-	running  map[uint32]*agent
-	results  []*pb.TaskResult
-	missing  int
-	// alive: some agent hears from the home. other: the job has another body.
-	alive, other bool
-	failed       *pb.TaskResult // a task that ran and failed; then the job has too
-
-	answer *pb.Answer
-	keep   time.Time // when the answer is dropped
+	deadline      time.Time       // of the recovery as a whole
+	reachDeadline time.Time       // until when unreachable agents are waited for
+	reported      map[*agent]bool // whether each agent asked has reported
+	running       map[uint32]*agent
+	results       []*pb.TaskResult
+	missing       int
+	// homeAlive: the home has a link to some agent. otherBody: the agents know the job
+	// with another body.
+	homeAlive, otherBody bool
+	failed               *pb.TaskResult // of a task that failed, and the job with it
+
+	answer    *pb.Answer
+	expiresAt time.Time // when the answer is dropped
 }
 
-// unknownTTL is how long an incomplete answer of a recovery stands before the
-// agents are asked again; a caller that asks faster costs no messages.
+// unknownTTL is how long an incomplete answer of a recovery is kept before the agents
+// are asked again. Callers that retry faster cost no messages.
 const unknownTTL = time.Second
 
-// Recover fences a job of another home at every agent and gathers its results.
-// Call it only when the home is taken for gone: homeEnded says that its process
-// is known to have ended, and otherwise agents that hear from it don't fence.
-// With a nil answer the job's answer comes with Ready.
+// Recover fences a job of another home at every agent and collects its results.
+// Call it only when the home is considered gone. Set homeEnded if its process is
+// known to have ended; otherwise agents that have a link to it don't fence. If
+// Recover returns nil, Ready returns the answer later.
 func (e *Entry) Recover(now time.Time, j *pb.Job, homeEnded bool) *pb.Answer {
 	name := job.Name(j.Contract, j.Id)
 	if r := e.recoveries[name]; r != nil {
@@ -53,11 +54,11 @@
 	}
 	c := e.opts.Contract(j.Contract)
 	if c == nil || len(j.Tasks) == 0 || len(e.recoveries) >= e.opts.MaxRecoveries {
-		return AskAgain(j.Id, "the job's home is gone, and its results can't be gathered now")
+		return AskAgain(j.Id, "the job's home is gone, and its results can't be collected now")
 	}
 	r := &recovery{
-		name: name, job: j, digest: digestOf(j), homeEnded: homeEnded, promptBy: now.Add(e.opts.RecoverWait),
-		asked: make(map[*agent]bool), running: make(map[uint32]*agent),
+		name: name, job: j, digest: digestOf(j), homeEnded: homeEnded, reachDeadline: now.Add(e.opts.RecoverWait),
+		reported: make(map[*agent]bool), running: make(map[uint32]*agent),
 		results: make([]*pb.TaskResult, len(j.Tasks)), missing: len(j.Tasks),
 	}
 	timeout := j.TimeoutMs
@@ -65,12 +66,12 @@
 	r.deadline = now.Add(max(e.opts.RecoverWait, time.Duration(timeout)*time.Millisecond))
 	e.recoveries[name] = r
 	for _, a := range e.agents {
-		if !a.gone {
-			r.asked[a] = false
+		if !a.abandoned {
+			r.reported[a] = false
 			a.fence(r)
 		}
 	}
-	e.settle(now, r)
+	e.finishIfSettled(now, r)
 	return nil
 }
 
@@ -78,13 +79,13 @@
 	if !a.session.IsUp() {
 		return
 	}
-	a.out.Fences = append(a.out.Fences, &pb.Fence{Job: r.name, HomeEnded: r.homeEnded})
+	a.nextFrame.Fences = append(a.nextFrame.Fences, &pb.Fence{Job: r.name, HomeEnded: r.homeEnded})
 	a.dirty = true
 }
 
-// fenceAgain asks an agent with a new link: the question, the report, or results
-// that the agent would have sent may have been lost with the old one.
-func (e *Entry) fenceAgain(r *recovery, a *agent) {
+// resendFence repeats the fence over an agent's new link: the fence, the report or
+// later results may have been lost with the old one.
+func (e *Entry) resendFence(r *recovery, a *agent) {
 	if r.answer != nil {
 		return
 	}
@@ -92,40 +93,40 @@
 	for _, at := range r.running {
 		runsHere = runsHere || at == a
 	}
-	if r.asked[a] && !runsHere {
+	if r.reported[a] && !runsHere {
 		return
 	}
-	r.asked[a] = false
+	r.reported[a] = false
 	a.fence(r)
 }
 
-func (e *Entry) fenceReport(now time.Time, a *agent, f *pb.FenceReport) {
+func (e *Entry) applyFenceReport(now time.Time, a *agent, f *pb.FenceReport) {
 	r := e.recoveries[f.Job]
 	if r == nil || r.answer != nil {
 		return
 	}
-	r.asked[a] = true
-	r.alive = r.alive || f.HomeAlive
+	r.reported[a] = true
+	r.homeAlive = r.homeAlive || f.HomeAlive
 	if f.Digest != 0 && f.Digest != r.digest {
-		r.other = true
+		r.otherBody = true
 	} else {
 		for _, index := range f.Running {
 			r.running[index] = a
 		}
-		r.take(f.Results)
+		r.applyResults(f.Results)
 	}
-	e.settle(now, r)
+	e.finishIfSettled(now, r)
 }
 
-func (e *Entry) recoveryNews(now time.Time, r *recovery, results []*pb.TaskResult) {
-	if r.answer != nil || r.other {
+func (e *Entry) recoveryResults(now time.Time, r *recovery, results []*pb.TaskResult) {
+	if r.answer != nil || r.otherBody {
 		return
 	}
-	r.take(results)
-	e.settle(now, r)
+	r.applyResults(results)
+	e.finishIfSettled(now, r)
 }
 
-func (r *recovery) take(results []*pb.TaskResult) {
+func (r *recovery) applyResults(results []*pb.TaskResult) {
 	for _, res := range results {
 		i := int(res.Task)
 		delete(r.running, res.Task)
@@ -140,19 +141,20 @@
 	}
 }
 
-func (e *Entry) recoveryLost(now time.Time, r *recovery, a *agent) {
+func (e *Entry) recoveryAgentLost(now time.Time, r *recovery, a *agent) {
 	if r.answer != nil {
 		return
 	}
-	delete(r.asked, a)
+	delete(r.reported, a)
 	maps.DeleteFunc(r.running, func(_ uint32, at *agent) bool { return at == a })
-	e.settle(now, r)
+	e.finishIfSettled(now, r)
 }
 
-// settle answers when nothing more can be learned.
-func (e *Entry) settle(now time.Time, r *recovery) {
+// finishIfSettled ends the recovery once no further reports or results can change
+// the answer.
+func (e *Entry) finishIfSettled(now time.Time, r *recovery) {
 	switch {
-	case r.other:
+	case r.otherBody:
 		e.endRecovery(now, r, conflict(r.job.Id), e.opts.AnswerTTL)
 	case r.missing == 0:
 		a := &pb.Answer{Job: r.job.Id, Outcome: pb.Outcome_OUTCOME_COMPLETE, Results: r.results}
@@ -161,15 +163,15 @@
 		a := &pb.Answer{Job: r.job.Id, Outcome: pb.Outcome_OUTCOME_FAILED, Code: string(jobs.CodeTaskFailed), Message: r.failed.Error}
 		e.endRecovery(now, r, a, e.opts.AnswerTTL)
 	case r.pending() || len(r.running) > 0:
-	case r.alive:
-		e.endRecovery(now, r, AskAgain(r.job.Id, "the job's home can't be reached from here, but it lives"), unknownTTL)
+	case r.homeAlive:
+		e.endRecovery(now, r, AskAgain(r.job.Id, "the job's home is alive but can't be reached from here"), unknownTTL)
 	default:
 		e.endRecovery(now, r, AskAgain(r.job.Id, "the job's home is gone and not every result was found"), unknownTTL)
 	}
 }
 
 func (r *recovery) pending() bool {
-	for _, done := range r.asked {
+	for _, done := range r.reported {
 		if !done {
 			return true
 		}
@@ -179,20 +181,20 @@
 
 func (e *Entry) endRecovery(now time.Time, r *recovery, a *pb.Answer, keep time.Duration) {
 	r.answer = a
-	r.keep = now.Add(keep)
-	e.recovered = append(e.recovered, r)
+	r.expiresAt = now.Add(keep)
+	e.endedRecoveries = append(e.endedRecoveries, r)
 	e.ready.Answers = append(e.ready.Answers, Ended{Contract: r.job.Contract, Answer: a})
 }
 
-// next is when expireRecoveries has something to do.
+// next returns when expireRecoveries has to handle the recovery.
 func (r *recovery) next() time.Time {
 	switch {
 	case r.answer != nil:
-		return r.keep
+		return r.expiresAt
 	case len(r.running) > 0:
 		return r.deadline
 	}
-	return link.Earlier(r.deadline, r.promptBy)
+	return link.Earlier(r.deadline, r.reachDeadline)
 }
 
 func (e *Entry) expireRecoveries(now time.Time) {
@@ -202,8 +204,8 @@
 			e.endRecovery(now, r, AskAgain(r.job.Id, "the job's home is gone and not every agent was reached"), unknownTTL)
 		}
 	}
-	e.recovered = slices.DeleteFunc(e.recovered, func(r *recovery) bool {
-		if now.Before(r.keep) {
+	e.endedRecoveries = slices.DeleteFunc(e.endedRecoveries, func(r *recovery) bool {
+		if now.Before(r.expiresAt) {
 			return false
 		}
 		delete(e.recoveries, r.name)
@@ -218,7 +220,7 @@
 	return slices.Sorted(maps.Keys(e.recoveries))
 }
 
-// AskAgain tells that the outcome is unknown, and when to ask again.
+// AskAgain returns an answer with an unknown outcome and a time to retry after.
 func AskAgain(id, message string) *pb.Answer {
 	a := unknown(id, jobs.CodeHomeLost, message)
 	a.RetryAfterMs = uint32(unknownTTL / time.Millisecond)
--- a/dispatch/entry/refusal_test.go
+++ b/dispatch/entry/refusal_test.go
@@ -10,19 +10,19 @@
 	"github.com/papayahoist/papayahoist/dispatch/entry"
 )
 
-func notBegun() (time.Duration, *pb.TaskResult) {
+func refuseStart() (time.Duration, *pb.TaskResult) {
 	return 0, &pb.TaskResult{Outcome: pb.Outcome_OUTCOME_NOT_RUN, Error: "endpoint: connection refused"}
 }
 
-// A task's payload is one that every endpoint refuses before it begins. The
-// caller must hear so at once, and the task must not go round between entry and
-// agents until its deadline.
-func TestTaskThatEveryEndpointRefuses(t *testing.T) {
-	b := newBed(t, 4, contractOf("desk"))
+// Every endpoint refuses to begin a task, because of its payload. The caller must be
+// answered promptly, and the task must not be sent around between entry and agents
+// until its deadline.
+func TestTaskRefusedByEveryEndpoint(t *testing.T) {
+	b := newFixture(t, 4, contractOf("desk"))
 	attempts := 0
 	b.run = func(string, agent.Run) (time.Duration, *pb.TaskResult) {
 		attempts++
-		return notBegun()
+		return refuseStart()
 	}
 	id, refused := b.submit("desk", 1, nil)
 	if refused != nil {
@@ -38,18 +38,18 @@
 	}
 }
 
-// The service of one endpoint is down while its agent lives. Its slots are always
-// free; the jobs must be served by the other endpoints all the same.
-func TestEndpointThatIsDown(t *testing.T) {
-	b := newBed(t, 4, contractOf("desk"))
+// The service of one endpoint is down while its agent is alive, so its slots are
+// always free. The jobs must still be served by the other endpoints.
+func TestEndpointDown(t *testing.T) {
+	b := newFixture(t, 4, contractOf("desk"))
 	attempts := 0
-	serve := b.run
+	defaultRun := b.run
 	b.run = func(name string, r agent.Run) (time.Duration, *pb.TaskResult) {
 		if name != "agent-0" {
-			return serve(name, r)
+			return defaultRun(name, r)
 		}
 		attempts++
-		return notBegun()
+		return refuseStart()
 	}
 	const submitted = 60
 	ids := make([]string, 0, submitted)
@@ -72,11 +72,11 @@
 	}
 }
 
-// A task runs on long after its job's deadline, past the time for which the answer
-// is kept, and its result comes then. The entry has dropped the job but for its
-// name; it used to crash on the result, and with it all jobs of its callers.
+// A task runs past its job's deadline and past the time for which the answer is
+// kept, and only then does its result arrive. The entry has dropped the job's
+// payloads by then and must not crash on the result, which would lose all its jobs.
 func TestResultAfterItsJobWasDropped(t *testing.T) {
-	b := newBed(t, 1, contractOf("desk"))
+	b := newFixture(t, 1, contractOf("desk"))
 	b.run = func(string, agent.Run) (time.Duration, *pb.TaskResult) {
 		return entry.DefaultAnswerTTL + 30*time.Second, &pb.TaskResult{Outcome: pb.Outcome_OUTCOME_COMPLETE, RunMillis: 1}
 	}
--- a/dispatch/entry/shares.go
+++ b/dispatch/entry/shares.go
@@ -9,11 +9,11 @@
 	"github.com/papayahoist/papayahoist/dispatch/limit"
 )
 
-// PeersSeen names the incarnations of the other entries that may start tasks.
-// The driver must keep naming one until it is proven to start nothing any more:
-// it said goodbye and ended, or its lease has lapsed at the store and nobody has
-// heard it since. All contracts in force are given, so that they are divided
-// before the first job of each.
+// PeersSeen sets the incarnations of the other entries that may start tasks. The
+// driver must include an entry until it certainly starts nothing any more: it
+// announced its exit and ended, or its lease has lapsed at the store and no process
+// has received anything from it since. All contracts in force are passed, so that
+// they are divided before the first job of each.
 func (e *Entry) PeersSeen(now time.Time, others []string, contracts []string) {
 	for _, name := range contracts {
 		e.contract(now, name)
@@ -22,29 +22,29 @@
 	for _, name := range others {
 		shares.AddMember(name)
 	}
-	for name := range e.others {
+	for name := range e.otherEntries {
 		if !slices.Contains(others, name) {
 			shares.Gone(name)
 		}
 	}
-	e.others = make(map[string]bool, len(others))
+	e.otherEntries = make(map[string]bool, len(others))
 	for _, name := range others {
-		e.others[name] = true
+		e.otherEntries[name] = true
 	}
-	e.demand()
+	e.updateDemand()
 	shares.Tick(now)
 	e.applyShares(now)
 }
 
-// Fence keeps the entry from starting anything, or lets it go on: others may have
-// taken its parts of the contracts.
+// Fence sets whether the entry is fenced. A fenced entry starts nothing, since the
+// other entries may have taken its shares of the contracts.
 func (e *Entry) Fence(now time.Time, fenced bool) {
 	e.policy.shares.SetFenced(fenced)
 	e.applyShares(now)
 }
 
-// HoldsParts reports whether the entry may start tasks of any contract; also true
-// while no contract allows any.
+// HoldsParts reports whether the entry holds a share of any contract, so that it may
+// start tasks. It is also true while no contract allows any task.
 func (e *Entry) HoldsParts() bool {
 	none := true
 	for name := range e.policy.contracts {
@@ -57,50 +57,50 @@
 	return none
 }
 
-// maxHurry is the longest time between exchanges that this entry asks for.
-const maxHurry = 2 * time.Second
+// maxExchangeBackoff bounds the time between exchanges that this entry requests.
+const maxExchangeBackoff = 2 * time.Second
 
-// hurry asks for an exchange when this entry has work for a larger part of a
-// contract: the regular ones are seconds apart. While they gain it nothing, since
-// the others need their parts too, it asks ever more seldom.
-func (e *Entry) hurry(now time.Time) {
+// requestExchange requests an exchange if this entry has work for a larger share of
+// a contract, since regular exchanges are seconds apart. It backs off while they
+// don't enlarge its share because the other entries need theirs too.
+func (e *Entry) requestExchange(now time.Time) {
 	p := e.policy
-	if len(e.others) == 0 || !p.limits.AnyAtPart() || now.Before(p.hurried.Add(max(p.hurryAfter, e.opts.ExchangeAfter))) {
+	if len(e.otherEntries) == 0 || !p.limits.AnyAtPart() || now.Before(p.exchangeRequested.Add(max(p.exchangeBackoff, e.opts.ExchangeAfter))) {
 		return
 	}
-	p.hurried = now
-	p.hurryAfter = min(max(2*p.hurryAfter, e.opts.ExchangeAfter), maxHurry)
-	// If it is this entry that makes plans, the exchange carries the new one.
-	e.demand()
+	p.exchangeRequested = now
+	p.exchangeBackoff = min(max(2*p.exchangeBackoff, e.opts.ExchangeAfter), maxExchangeBackoff)
+	// If this entry is the allocator, the exchange carries the new plan.
+	e.updateDemand()
 	if p.shares.Tick(now) {
 		e.applyShares(now)
 	}
 	e.ready.Exchange = true
 }
 
-// demand tells the shares what this entry could use of each contract.
-func (e *Entry) demand() {
+// updateDemand updates this entry's updateDemand for each contract.
+func (e *Entry) updateDemand() {
 	for name := range e.policy.contracts {
 		waiting := e.policy.sched.WaitingOf(name)
 		e.policy.shares.SetDemand(name, e.policy.limits.Running(name)+uint32(waiting))
 	}
 }
 
-// ShareState is what to tell the other entries.
+// ShareState returns the state to send to the other entries.
 func (e *Entry) ShareState() *pb.ShareState {
-	e.demand()
+	e.updateDemand()
 	s := e.policy.shares.State(e.policy.limits.Running)
 	return &pb.ShareState{
 		Entry: s.Entry, Plan: planToProto(s.Plan), Held: partsToProto(s.Held), Demand: partsToProto(s.Demand),
 	}
 }
 
-// SharesSeen takes in what another entry tells. States of one entry must come in
-// the order in which it made them.
+// SharesSeen applies another entry's ShareState. States of one entry must be passed
+// in the order in which it made them.
 func (e *Entry) SharesSeen(now time.Time, m *pb.ShareState) {
-	if !e.others[m.GetEntry()] {
-		// Of an entry that is gone, or not announced yet: its state would make it a
-		// member that nobody takes out again.
+	if !e.otherEntries[m.GetEntry()] {
+		// The entry is gone or not announced yet. Applying its state would make it a
+		// member that is never removed.
 		return
 	}
 	for _, d := range m.Demand {
@@ -112,9 +112,9 @@
 	}, now)
 	e.policy.shares.Tick(now)
 	e.applyShares(now)
-	if p := e.policy; p.shares.Promised() && now.After(p.hurried.Add(time.Millisecond)) {
-		// The others have yet to be seen to keep to the plan.
-		p.hurried = now
+	if p := e.policy; p.shares.Promised() && now.After(p.exchangeRequested.Add(time.Millisecond)) {
+		// The other entries have not confirmed yet that they follow the plan.
+		p.exchangeRequested = now
 		e.ready.Exchange = true
 	}
 }
--- a/dispatch/entry/status.go
+++ b/dispatch/entry/status.go
@@ -8,35 +8,35 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// Counts sums up an entry's state.
+// Counts is a summary of an entry's state.
 type Counts struct {
-	// Jobs accepted and not answered, tasks not dispatched, credits not used.
+	// Jobs without an answer, tasks not dispatched, credits not used.
 	Jobs, Waiting, Credits int
-	// Agents with a link, and those not given up without one.
+	// Agents with a link, and agents without one that are not abandoned.
 	LinksUp, LinksDown int
-	// Agents that get no work because tasks fail there.
+	// Agents that get no work because tasks fail on them.
 	Suspended int
 }
 
-// Counts returns the sums of now; its cost grows with the number of agents.
+// Counts returns the current summary. Its cost grows with the number of agents.
 func (e *Entry) Counts() Counts {
-	c := Counts{Jobs: e.deadlines.Len() + len(e.recoveries) - len(e.recovered), Waiting: e.policy.sched.Waiting(), Credits: e.policy.sched.Pool.Credits()}
+	c := Counts{Jobs: e.deadlines.Len() + len(e.recoveries) - len(e.endedRecoveries), Waiting: e.policy.sched.Waiting(), Credits: e.policy.sched.Pool.Credits()}
 	for _, a := range e.agents {
 		switch {
 		case a.session.IsUp():
 			c.LinksUp++
-		case !a.gone:
+		case !a.abandoned:
 			c.LinksDown++
 		}
-		if a.standing == place.Suspended {
+		if a.healthState == place.Suspended {
 			c.Suspended++
 		}
 	}
 	return c
 }
 
-// AgentStatuses returns each agent as this entry sees it, by name. The messages
-// in it are shared and must not be changed.
+// AgentStatuses returns this entry's view of each agent, ordered by name. The nested
+// messages are shared and must not be modified.
 func (e *Entry) AgentStatuses() []*pb.AgentStatus {
 	list := make([]*pb.AgentStatus, 0, len(e.agents))
 	for _, a := range e.agents {
@@ -44,7 +44,7 @@
 			Hello:          a.hello,
 			Load:           a.load,
 			Credits:        e.creditsOf(a),
-			Suspended:      standingTexts[a.standing],
+			Suspended:      healthStateTexts[a.healthState],
 			Linked:         a.session.IsUp(),
 			Leaving:        a.leaving,
 			ConfigRevision: a.revision,
@@ -53,8 +53,8 @@
 	return list
 }
 
-// standingTexts tell operators why an agent gets less work or none.
-var standingTexts = map[place.Standing]string{
+// healthStateTexts tell operators why an agent gets less work or none.
+var healthStateTexts = map[place.Standing]string{
 	place.Trial:     "on trial",
 	place.Suspended: "tasks fail there",
 }
@@ -66,15 +66,15 @@
 	return 0
 }
 
-// Use is what one contract's tasks of this entry take.
+// Use is the resource usage of one contract's tasks at this entry.
 type Use struct {
 	Waiting, Running uint32
-	// MemoryBytes is what is reserved for the running ones.
+	// MemoryBytes is the memory reserved for the running tasks.
 	MemoryBytes uint64
 }
 
-// Uses returns the use of each contract with waiting or running tasks; its cost
-// grows with the number of tasks at agents.
+// Uses returns the usage by contract, for contracts with waiting or running tasks.
+// Its cost grows with the number of tasks at agents.
 func (e *Entry) Uses() map[string]Use {
 	uses := make(map[string]Use)
 	for name := range e.policy.contracts {
@@ -93,9 +93,9 @@
 	return uses
 }
 
-// Answered tells of a job that Ready has just answered: the time from its
-// acceptance, and the ideal, the longest run time of its tasks. False: it was not
-// accepted here.
+// Answered returns the response time, counted from acceptance, of a job that Ready
+// has just answered, and the ideal response time, which is the longest run time of
+// its tasks. It reports false if the job was not accepted here.
 func (e *Entry) Answered(a Ended) (response, ideal time.Duration, ok bool) {
 	js := e.jobs[job.Name(a.Contract, a.Answer.Job)]
 	if js == nil || js.answer == nil {
@@ -105,5 +105,5 @@
 	for _, res := range js.answer.Results {
 		ideal = max(ideal, time.Duration(res.RunMillis)*time.Millisecond)
 	}
-	return js.answered.Sub(accepted), ideal, true
+	return js.answeredAt.Sub(accepted), ideal, true
 }
