--- a/dispatch/door/doc.go
+++ b/dispatch/door/doc.go
@@ -1,25 +1,29 @@
-// Package door decides which entry is home to a job whose id is a key of the
-// caller's own, so that no two entries ever start jobs of the same key.
+// Package door decides which entry is home to a job whose id is a key made by the
+// caller, so that no two entries ever start jobs with the same key.
 //
-// A key's home is the one of the entries announced in the platform's service that
-// rendezvous hashing puts first. Entries may differ in whom they know, so an entry
-// starts a key only if it can vouch for the key's whole life: at any time since
-// the caller first sent it, either this entry was its home, or nobody could start
-// it. Three rules make that so.
+// The home of a key is chosen by rendezvous hashing among the entries announced in
+// the platform's service. Entries may differ in which other entries they know, so an
+// entry starts a key only if it owns it for certain: at any time since the caller
+// first sent the key, either this entry was its home or no entry could start it.
+// Three rules ensure this:
 //
-// An entry serves keys only while its announcement holds. It reads the whole list
-// after it has announced itself, so that of two entries the later one knows the
-// earlier, and serves only when each entry on that list has let it, by echoing a
-// time that it sent since: by then each counts it in. And an entry is counted out
-// only when its announcement is gone from the list, by when it has stopped by its
-// own clock; its keys go to others only if they were first sent after that. Two
-// entries that can't reach each other keep to their own keys.
+//   - An entry serves keys only while its announcement is valid. It reads the whole
+//     list after it has announced itself, so that of two entries the later one knows
+//     the earlier.
+//   - It starts to serve only when each entry on that list has confirmed it, by
+//     echoing a timestamp that it sent after reading the list: by then each of them
+//     includes it in the hashing.
+//   - An entry is excluded only when its announcement has disappeared from the list.
+//     By then it has stopped serving, by its own clock. Its keys move to other
+//     entries only if they were first sent after that.
 //
-// A newcomer, and an entry whose announcement has lapsed, starts with keys first
-// sent from then on. While the service is down announcements lapse, and keys are
-// served by nobody: callers that need more put a home token into their ids.
+// Two entries that can't reach each other keep to their own keys.
 //
-// A Door does no I/O, reads no clock, and must be called by one goroutine at a
-// time. Times are the local wall clock's; clocks of callers and entries may differ
-// by Skew.
+// A new entry, and one whose announcement has lapsed, serves only keys first sent
+// after it was confirmed. While the service is down, announcements lapse and no entry
+// serves keys. Callers that need higher availability put a home token into their ids.
+//
+// A Door does no I/O, reads no clock, and must not be used by several goroutines
+// concurrently. Times are those of the local wall clock. Clocks of callers and
+// entries may differ by up to Skew.
 package door
--- a/dispatch/door/door.go
+++ b/dispatch/door/door.go
@@ -9,11 +9,11 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// Options of a Door. The zero value of a field stands for its default.
+// Options configure a Door. Zero fields take their defaults.
 type Options struct {
-	// Skew bounds how far the clocks of callers and entries are apart. Default 2 s.
+	// Skew bounds the difference between the clocks of callers and entries. Default 2 s.
 	Skew time.Duration
-	// KeyTTL is how long after its first sending a key may start a job.
+	// KeyTTL is how long after it was first sent a key may start a job.
 	// Default 15 minutes.
 	KeyTTL time.Duration
 }
@@ -24,59 +24,61 @@
 	DefaultKeyTTL = 15 * time.Minute
 )
 
-// WithDefaults returns the options with zero fields set.
+// WithDefaults returns a copy of the options with zero fields set to their defaults.
 func (o Options) WithDefaults() Options {
 	o.Skew = cmp.Or(o.Skew, DefaultSkew)
 	o.KeyTTL = cmp.Or(o.KeyTTL, DefaultKeyTTL)
 	return o
 }
 
-// Door is one entry's part.
+// Door resolves the homes of keys for one entry.
 type Door struct {
 	opts    Options
 	self    string
 	members map[string]*member
 
 	announcedUntil time.Time
-	listedAt       time.Time // first list of the announcement; zero: none yet
-	since          time.Time // from when on keys can be vouched for; zero: not yet
+	listedAt       time.Time // when the first list since the announcement was received; zero if none
+	ownsSince      time.Time // keys first sent after this time may be owned; zero if none yet
 }
 
 // member is another entry process.
 type member struct {
-	stamp time.Time // the last time that it sent, to be echoed
-	heard time.Time // when it was heard last
-	// asked: it must let this entry; letMe is the latest own time it has echoed.
-	asked bool
-	letMe time.Time
-	// left is when its announcement was gone; zero: it may serve.
-	left time.Time
+	lastStamp    time.Time // its last timestamp, to be echoed
+	lastReceived time.Time // when its state was last received
+	// mustConfirm is set if it must confirm this entry; confirmed is the latest of this
+	// entry's timestamps that it has echoed.
+	mustConfirm bool
+	confirmed   time.Time
+	// removedAt is when its announcement had disappeared; zero if it may serve.
+	removedAt time.Time
 }
 
-// New returns the door of the entry with the incarnation.
+// New returns a Door for the entry with the given incarnation.
 func New(self string, opts Options) *Door {
 	return &Door{opts: opts.WithDefaults(), self: self, members: make(map[string]*member)}
 }
 
-// Announced takes in that the announcement holds until the given time, counted
-// from before the call that renewed it. True asks for the list.
+// Announced records that the announcement is valid until the given time, counted
+// from before the call that renewed it. It reports whether the list must be read.
 func (d *Door) Announced(now, until time.Time) (list bool) {
 	if !now.Before(d.announcedUntil) {
-		// It may have lapsed, and the others have counted this entry out.
-		d.listedAt, d.since = time.Time{}, time.Time{}
+		// It may have lapsed, and the other entries have excluded this one.
+		d.listedAt, d.ownsSince = time.Time{}, time.Time{}
 	}
 	d.announcedUntil = until
 	return d.listedAt.IsZero()
 }
 
-// Listed takes in the whole list of announced entries; readAt is from before the
-// call that read it, and after Announced. Call it also when an announcement is
-// said to be gone.
+// Listed applies the whole list of announced entries. ReadAt is a time before the
+// call that read the list and after Announced. Call Listed also when an announcement
+// is reported to be gone.
 func (d *Door) Listed(now, readAt time.Time, incarnations []string) {
 	for inc, m := range d.members {
-		// One heard since may have announced itself after the list was read.
-		if m.left.IsZero() && m.heard.Before(readAt) && !slices.Contains(incarnations, inc) {
-			m.left = now
+		// A member whose state was received since may have announced itself after the
+		// list was read.
+		if m.removedAt.IsZero() && m.lastReceived.Before(readAt) && !slices.Contains(incarnations, inc) {
+			m.removedAt = now
 		}
 	}
 	first := d.listedAt.IsZero()
@@ -84,15 +86,16 @@
 		d.listedAt = now
 	}
 	for _, inc := range incarnations {
-		if m := d.member(inc); m != nil && first {
-			m.asked = true
+		if m := d.include(inc); m != nil && first {
+			m.mustConfirm = true
 		}
 	}
-	d.settle(now)
+	d.updateOwnership(now)
 }
 
-// member returns an entry and counts it in.
-func (d *Door) member(incarnation string) *member {
+// include returns the member of another entry and includes it in the hashing. It
+// returns nil for this entry.
+func (d *Door) include(incarnation string) *member {
 	if incarnation == d.self || incarnation == "" {
 		return nil
 	}
@@ -101,73 +104,75 @@
 		m = &member{}
 		d.members[incarnation] = m
 	}
-	m.left = time.Time{}
+	m.removedAt = time.Time{}
 	return m
 }
 
-// Echo is a time that an entry sent, on its way back to it.
+// Echo returns a timestamp to the entry that sent it.
 type Echo struct {
 	Entry string
 	Stamp time.Time
 }
 
-// State is what to send to the other entries: the time, and the echoes of those
-// that are counted in.
+// State returns what to send to the other entries: a timestamp, and the echoes for
+// the entries that are included.
 func (d *Door) State(now time.Time) (stamp time.Time, echoes []Echo) {
 	for inc, m := range d.members {
-		if m.left.IsZero() && !m.stamp.IsZero() {
-			echoes = append(echoes, Echo{Entry: inc, Stamp: m.stamp})
+		if m.removedAt.IsZero() && !m.lastStamp.IsZero() {
+			echoes = append(echoes, Echo{Entry: inc, Stamp: m.lastStamp})
 		}
 	}
 	slices.SortFunc(echoes, func(a, b Echo) int { return cmp.Compare(a.Entry, b.Entry) })
 	return now, echoes
 }
 
-// Heard takes in another entry's State.
+// Heard applies another entry's State.
 func (d *Door) Heard(now time.Time, from string, stamp time.Time, echoes []Echo) {
-	m := d.member(from)
+	m := d.include(from)
 	if m == nil {
 		return
 	}
-	m.heard = now
-	if stamp.After(m.stamp) {
-		m.stamp = stamp
+	m.lastReceived = now
+	if stamp.After(m.lastStamp) {
+		m.lastStamp = stamp
 	}
 	for _, e := range echoes {
-		if e.Entry == d.self && e.Stamp.After(m.letMe) {
-			m.letMe = e.Stamp
+		if e.Entry == d.self && e.Stamp.After(m.confirmed) {
+			m.confirmed = e.Stamp
 		}
 	}
-	d.settle(now)
+	d.updateOwnership(now)
 }
 
-// settle begins to vouch once every entry that was there before lets this one.
-func (d *Door) settle(now time.Time) {
-	if !d.since.IsZero() || d.listedAt.IsZero() {
+// updateOwnership makes this entry own keys once every entry on its first list has
+// confirmed it.
+func (d *Door) updateOwnership(now time.Time) {
+	if !d.ownsSince.IsZero() || d.listedAt.IsZero() {
 		return
 	}
 	for _, m := range d.members {
-		if m.asked && m.left.IsZero() && !m.letMe.After(d.listedAt) {
+		if m.mustConfirm && m.removedAt.IsZero() && !m.confirmed.After(d.listedAt) {
 			return
 		}
 	}
-	d.since = now
+	d.ownsSince = now
 }
 
-// Verdict says who is home to a key.
+// Verdict says which entry is home to a key.
 type Verdict uint8
 
 // Verdicts.
 const (
-	// Unsure: nobody is known who can vouch for the key. Its outcome is unknown.
+	// Unsure: no entry is known to own the key. The job's outcome is unknown.
 	Unsure Verdict = iota
 	// Mine: this entry may start the key.
 	Mine
-	// Other: the entry named is the key's home.
+	// Other: the named entry is the key's home.
 	Other
 )
 
-// Home returns who is home to a key, first sent at a time of the caller's clock.
+// Home returns which entry is home to a key that was first sent at the given time of
+// the caller's clock.
 func (d *Door) Home(now time.Time, key string, firstSent time.Time) (Verdict, string) {
 	if firstSent.After(now.Add(d.opts.Skew)) || firstSent.Before(now.Add(-d.opts.KeyTTL)) {
 		return Unsure, ""
@@ -176,18 +181,18 @@
 	names := []string{d.self}
 	for inc, m := range d.members {
 		switch {
-		case m.left.IsZero() || m.left.After(from):
+		case m.removedAt.IsZero() || m.removedAt.After(from):
 			names = append(names, inc)
-		case now.Sub(m.left) > d.opts.KeyTTL+d.opts.Skew:
+		case now.Sub(m.removedAt) > d.opts.KeyTTL+d.opts.Skew:
 			delete(d.members, inc)
 		}
 	}
 	slices.Sort(names)
 	home := rendezvous.New(names, xxhash.Sum64String).Lookup(key)
 	switch {
-	case home != d.self && d.members[home].left.IsZero():
+	case home != d.self && d.members[home].removedAt.IsZero():
 		return Other, home
-	case home != d.self || d.since.IsZero() || from.Before(d.since) || !now.Before(d.announcedUntil):
+	case home != d.self || d.ownsSince.IsZero() || from.Before(d.ownsSince) || !now.Before(d.announcedUntil):
 		return Unsure, ""
 	}
 	return Mine, d.self
--- a/dispatch/door/door_test.go
+++ b/dispatch/door/door_test.go
@@ -15,61 +15,62 @@
 	step     = 50 * time.Millisecond
 )
 
-// process is one entry with its door. Its clock is off by up to a quarter of the
-// skew that doors allow for.
+// process is one entry with its Door. Its clock is off by up to a quarter of the
+// allowed skew.
 type process struct {
-	name  string
-	door  *door.Door
-	off   time.Duration
-	until time.Time // paused
-	alive bool
-	known map[string]bool
+	name        string
+	door        *door.Door
+	clockOffset time.Duration
+	pausedUntil time.Time // end of its pause
+	alive       bool
+	known       map[string]bool
 }
 
-// world is a set of entries, the store's list and the messages between them.
-type world struct {
-	rng       *rand.Rand
-	now       time.Time
-	processes []*process
-	leases    map[string]time.Time
-	storeDown bool
-	cuts      map[string]time.Time
-	inbox     []message
-	started   map[string]string // key to the entry that started it
-	mine      int
+// cluster is a set of entries, the store's list and the messages between them.
+type cluster struct {
+	rng           *rand.Rand
+	now           time.Time
+	processes     []*process
+	leases        map[string]time.Time
+	storeDown     bool
+	partitions    map[string]time.Time
+	inbox         []message
+	started       map[string]string // key to the entry that started it
+	localVerdicts int
 }
 
 type message struct {
-	at     time.Time
-	to     *process
-	from   string
-	stamp  time.Time
-	echoes []door.Echo
-	peers  map[string]bool
-	asks   bool
-	list   []string // of the store, in place of a state
-	read   time.Time
+	at         time.Time
+	to         *process
+	from       string
+	stamp      time.Time
+	echoes     []door.Echo
+	peers      map[string]bool
+	wantsReply bool
+	list       []string // the store's list, instead of a state
+	readAt     time.Time
 }
 
-func (w *world) clock(p *process) time.Time { return w.now.Add(p.off) }
+func (w *cluster) clock(p *process) time.Time { return w.now.Add(p.clockOffset) }
 
-func (w *world) add() {
+func (w *cluster) add() {
 	p := &process{
 		name: fmt.Sprintf("e%d", len(w.processes)), alive: true, known: map[string]bool{},
-		off: time.Duration(w.rng.Int64N(int64(skew/2))) - skew/4,
+		clockOffset: time.Duration(w.rng.Int64N(int64(skew/2))) - skew/4,
 	}
 	p.door = door.New(p.name, door.Options{Skew: skew, KeyTTL: time.Minute})
 	w.processes = append(w.processes, p)
 }
 
-func (w *world) up(p *process) bool { return p.alive && !w.now.Before(p.until) }
+func (w *cluster) up(p *process) bool { return p.alive && !w.now.Before(p.pausedUntil) }
 
-func (w *world) cut(a, b string) bool {
-	return w.now.Before(w.cuts[a+b]) || w.now.Before(w.cuts[b+a])
+func (w *cluster) partitioned(a, b string) bool {
+	return w.now.Before(w.partitions[a+b]) || w.now.Before(w.partitions[b+a])
 }
 
-// renew is the store's side of an announcement, and the reading of the list.
-func (w *world) renew(p *process) {
+// renew simulates the renewal of an announcement at the store and the reading of
+// the list.
+func (w *cluster) renew(p *process) {
 	if w.storeDown {
 		return
 	}
@@ -83,12 +84,12 @@
 		}
 	}
 	at := w.now.Add(time.Duration(w.rng.Int64N(int64(4 * step))))
-	w.inbox = append(w.inbox, message{at: at, to: p, list: list, read: w.clock(p)})
+	w.inbox = append(w.inbox, message{at: at, to: p, list: list, readAt: w.clock(p)})
 }
 
-func (w *world) send(p *process, to *process, asks bool) {
+func (w *cluster) send(p *process, to *process, asks bool) {
 	stamp, echoes := p.door.State(w.clock(p))
-	if w.cut(p.name, to.name) || w.rng.IntN(20) == 0 {
+	if w.partitioned(p.name, to.name) || w.rng.IntN(20) == 0 {
 		return
 	}
 	peers := map[string]bool{p.name: true}
@@ -96,34 +97,34 @@
 		peers[name] = true
 	}
 	at := w.now.Add(time.Duration(w.rng.Int64N(int64(4 * step))))
-	w.inbox = append(w.inbox, message{at: at, to: to, from: p.name, stamp: stamp, echoes: echoes, peers: peers, asks: asks})
+	w.inbox = append(w.inbox, message{at: at, to: to, from: p.name, stamp: stamp, echoes: echoes, peers: peers, wantsReply: asks})
 }
 
-func (w *world) deliver() {
+func (w *cluster) deliver() {
 	var later []message
-	due := w.inbox
+	messages := w.inbox
 	w.inbox = nil
-	for _, m := range due {
+	for _, m := range messages {
 		switch {
 		case !m.to.alive:
 		case w.now.Before(m.at) || !w.up(m.to):
 			later = append(later, m)
 		case m.list != nil:
-			m.to.door.Listed(w.clock(m.to), m.read, m.list)
+			m.to.door.Listed(w.clock(m.to), m.readAt, m.list)
 		default:
 			m.to.door.Heard(w.clock(m.to), m.from, m.stamp, m.echoes)
 			for name := range m.peers {
 				m.to.known[name] = true
 			}
-			if m.asks {
-				w.send(m.to, w.named(m.from), false)
+			if m.wantsReply {
+				w.send(m.to, w.process(m.from), false)
 			}
 		}
 	}
 	w.inbox = append(w.inbox, later...)
 }
 
-func (w *world) named(name string) *process {
+func (w *cluster) process(name string) *process {
 	for _, p := range w.processes {
 		if p.name == name {
 			return p
@@ -132,15 +133,15 @@
 	return nil
 }
 
-func (w *world) fault() {
+func (w *cluster) injectFault() {
 	p := w.processes[w.rng.IntN(len(w.processes))]
 	q := w.processes[w.rng.IntN(len(w.processes))]
 	d := time.Duration(w.rng.Int64N(int64(2 * leaseTTL)))
 	switch w.rng.IntN(6) {
 	case 0:
-		p.until = w.now.Add(d)
+		p.pausedUntil = w.now.Add(d)
 	case 1, 2:
-		w.cuts[p.name+q.name] = w.now.Add(d)
+		w.partitions[p.name+q.name] = w.now.Add(d)
 	case 3:
 		w.storeDown = !w.storeDown
 	case 4:
@@ -152,7 +153,7 @@
 	}
 }
 
-func (w *world) submit(t *testing.T, seed uint64, key string, firstSent time.Time) {
+func (w *cluster) submit(t *testing.T, seed uint64, key string, firstSent time.Time) {
 	p := w.processes[w.rng.IntN(len(w.processes))]
 	for range 2 {
 		if !w.up(p) {
@@ -161,7 +162,7 @@
 		verdict, home := p.door.Home(w.clock(p), key, firstSent)
 		switch verdict {
 		case door.Mine:
-			w.mine++
+			w.localVerdicts++
 			if by := w.started[key]; by != "" && by != p.name {
 				t.Fatalf("seed %d: key %s started by %s and by %s", seed, key, by, p.name)
 			}
@@ -170,19 +171,19 @@
 		case door.Unsure:
 			return
 		}
-		p = w.named(home)
+		p = w.process(home)
 	}
 }
 
-// Entries join, pause, are cut off from each other and from the store, and lose
-// messages, while callers send keys again and again to any of them. Two entries
-// that take themselves for the home of a key would each stamp the certificate.
+// Entries join, pause, are partitioned from each other and from the store, and lose
+// messages, while callers repeatedly send keys to any of them. If two entries both
+// considered themselves the home of a key, its job would run twice.
 func TestOneHomePerKey(t *testing.T) {
 	served := 0
 	for seed := range uint64(400) {
-		w := &world{
+		w := &cluster{
 			rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(10_000, 0),
-			leases: map[string]time.Time{}, cuts: map[string]time.Time{}, started: map[string]string{},
+			leases: map[string]time.Time{}, partitions: map[string]time.Time{}, started: map[string]string{},
 		}
 		w.add()
 		w.add()
@@ -204,7 +205,7 @@
 				}
 			}
 			if w.rng.IntN(50) == 0 {
-				w.fault()
+				w.injectFault()
 			}
 			if tick%4 == 0 {
 				key := fmt.Sprintf("k%d", tick)
@@ -218,8 +219,8 @@
 		}
 		served += len(w.started)
 	}
-	// Faults come every few seconds and outlast the leases. What is served all the
-	// same shows that the check has something to look at.
+	// Faults occur every few seconds and outlast the leases. The minimum ensures that
+	// enough keys are started for the check to be meaningful.
 	if served < 25_000 {
 		t.Errorf("%d of %d keys served, want 25,000", served, 400*300)
 	}
