--- a/dispatch/job/fuzz_test.go
+++ b/dispatch/job/fuzz_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Callers send ids that no program of ours has made. One that is taken for the
-// token of another process, or lets a path be forged, has a job answered as
-// somebody else's.
+// Callers may send ids that no client of this project has made. If an id is mistaken
+// for the token of another process, or allows a path to be forged, its caller gets
+// the answer of another job.
 func FuzzParse(f *testing.F) {
 	f.Add(strings.Repeat("a", IncarnationLength) + "-7.own")
 	f.Add("plain key")
@@ -23,9 +23,9 @@
 		if !id.HasHome() {
 			return
 		}
-		again, err := Parse(id.Home.String() + "." + id.Key)
-		if err != nil || again != id {
-			t.Fatalf("%q is %+v, written again %+v, %v", s, id, again, err)
+		reparsed, err := Parse(id.Home.String() + "." + id.Key)
+		if err != nil || reparsed != id {
+			t.Fatalf("%q is %+v, after a round trip %+v, %v", s, id, reparsed, err)
 		}
 	})
 }
--- a/dispatch/job/id.go
+++ b/dispatch/job/id.go
@@ -1,4 +1,4 @@
-// Package job holds the identity of jobs: which process can vouch for an id.
+// Package job defines the identity of jobs and which process is responsible for an id.
 package job
 
 import (
@@ -12,38 +12,38 @@
 // Errors of this package.
 var (
 	Errors = errorx.NewNamespace("job")
-	// ErrBadID is given for an id that no caller of the interface could have made.
+	// ErrBadID is returned for an id that is not well-formed.
 	ErrBadID = Errors.NewType("bad_id")
 )
 
 const (
-	// IncarnationLength is the length of an incarnation: 128 random bits in hex.
+	// IncarnationLength is the length in bytes of an incarnation: 128 random bits in hex.
 	IncarnationLength = 32
-	// TokenPeriod is how long an entry hands out the same home token, at most.
+	// TokenPeriod is the longest time for which an entry hands out the same home token.
 	TokenPeriod = time.Minute
 	maxLength   = 128
 )
 
 // Token is an entry's home token: its incarnation and the period, counted from 0
-// at the start of that process, in which the token was handed out. The period
-// lets an entry forget ids: one whose token has expired is never started,
-// whether or not the entry still remembers it.
+// at the start of that process, in which the token was handed out. The period allows
+// an entry to forget ids: an id whose token has expired is never started, whether or
+// not the entry remembers it.
 type Token struct {
 	Incarnation string
 	Period      uint64
 }
 
-// String formats the token as callers see it.
+// String returns the token in the form that callers use.
 func (t Token) String() string {
 	return t.Incarnation + "-" + strconv.FormatUint(t.Period, 10)
 }
 
-// Name is what the system's own processes call a job: the contract and the id.
-// With the contract in it, nobody can read, join, cancel or fence the job of
-// another customer, however the id was come by.
+// Name returns the internal name of a job: the contract and the id. Since it
+// contains the contract, a customer can't read, join, cancel or fence the job of
+// another customer even if it knows the id.
 func Name(contract, id string) string { return contract + "/" + id }
 
-// SplitName undoes Name; an id holds no slash.
+// SplitName is the inverse of Name. An id contains no slash.
 func SplitName(name string) (contract, id string) {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 {
@@ -54,17 +54,17 @@
 
 // ID is a parsed job id.
 type ID struct {
-	// Home is the zero Token for an id that is the caller's own key.
+	// Home is the zero Token for an id that is a caller-made key.
 	Home Token
 	// Key is the caller's part.
 	Key string
 }
 
-// HasHome reports whether the id names the process that vouches for it.
+// HasHome reports whether the id names the process that is its home.
 func (id ID) HasHome() bool { return id.Home.Incarnation != "" }
 
-// Parse splits an id. An id that does not start with a home token is a key of
-// the caller's own.
+// Parse parses an id. An id that does not start with a home token is a caller-made
+// key. Parse returns ErrBadID for an id that is not well-formed.
 func Parse(s string) (ID, error) {
 	if s == "" || len(s) > maxLength {
 		return ID{}, ErrBadID.New("id has %d bytes, want 1 to %d", len(s), maxLength)
--- a/dispatch/job/refusal.go
+++ b/dispatch/job/refusal.go
@@ -1,6 +1,6 @@
 package job
 
-// Codes in TaskResult.error of a start that an agent has refused.
+// Codes in TaskResult.error for a start that an agent has refused.
 const (
 	RefusedNoSlot  = "no_slot"
 	RefusedMemory  = "no_memory"
@@ -11,8 +11,8 @@
 	RefusedForeign = "foreign_home"
 )
 
-// RefusedByAgent tells an agent's refusal by its code. Other texts are of the
-// endpoint, which has proven that it did not begin the task.
+// RefusedByAgent reports whether the code is that of an agent's refusal. Any other
+// text comes from the endpoint, which has confirmed that it did not begin the task.
 func RefusedByAgent(code string) bool {
 	switch code {
 	case RefusedNoSlot, RefusedMemory, RefusedFenced, RefusedLeaving, RefusedFull, RefusedRevoked, RefusedForeign:
