--- a/dispatch/bounds/bounds.go
+++ b/dispatch/bounds/bounds.go
@@ -1,23 +1,23 @@
-// Package bounds derives, in one place, the times by which an entry, an agent and
-// a worker under a lease keep two runs of one task apart.
+// Package bounds derives the timeouts that keep an entry, an agent and a worker
+// under a lease from running a task twice at the same time.
 //
-// A caller whose connection broke sends its job again after Resend, at any entry,
-// which starts the tasks anew and knows nothing of the first entry's runs. So all
-// of these must have ended by then, whatever failed:
+// A caller whose connection broke sends its job again after Resend, to any entry,
+// which starts the tasks anew without knowing about the first entry's runs. All of
+// those must have ended by then, whatever failed:
 //
-//   - the entry lives and reaches the agent: it stops them at once;
-//   - the entry is gone, frozen or cut off: the agent stops them Silence after the
-//     entry's last word, and a stop takes Stop;
-//   - the agent is gone, frozen or cut off from its worker as well: the lease ends
-//     them, at most Lease of the worker's clock after the last renewal, and that
-//     clock may be slow by ClockError.
+//   - The entry is alive and reaches the agent: it stops them immediately.
+//   - The entry is gone, frozen or partitioned: the agent stops them Silence after
+//     the last frame from the entry, and a stop takes up to Stop.
+//   - The agent is also gone, frozen or partitioned from its worker: the lease ends
+//     them, at most Lease after its last renewal by the worker's clock, which may be
+//     slow by ClockError.
 //
-// The entry gives a job up no sooner than GiveUp after it lost the link that the
-// job's runs are on. The bound that all figures here must keep is therefore
+// The entry abandons a job no sooner than GiveUp after it lost the link that the
+// job's runs are on. All values must therefore satisfy
 //
 //	Silence + Stop + Lease*(1+ClockError) + Slack <= GiveUp + Resend
 //
-// and for a caller that leaves by itself, with entry or agent gone at that moment,
+// and, for a caller that disconnects by itself while entry or agent fails,
 //
 //	max(Silence + Stop, Lease*(1+ClockError)) + Slack <= Resend.
 package bounds
@@ -29,81 +29,89 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrTooTight is given when no figures keep the bound.
+// ErrTooTight is returned when no values satisfy the bounds.
 var ErrTooTight = errorx.NewNamespace("bounds").NewType("too_tight")
 
-// Given are the deployment's figures.
+// Given holds the deployment's parameters. Zero fields take defaults.
 type Given struct {
-	// Resend is the least time after which a caller without an answer sends a job
-	// again.
+	// Resend is the shortest time after which a caller without an answer sends its
+	// job again.
 	Resend time.Duration
-	// MaxLease is the longest lease that a worker grants.
+	// MaxLease is the longest lease that workers grant.
 	MaxLease time.Duration
-	// Stop is the longest time that a worker takes to end a run.
+	// Stop is the longest time that a worker takes to stop a run.
 	Stop time.Duration
 }
 
-// Times are what the processes go by.
+// Times holds the derived timeouts.
 type Times struct {
+	// Silence is how long after the last frame from an entry its agent stops the
+	// entry's runs.
 	Silence time.Duration
-	Lease   time.Duration
-	Stop    time.Duration
-	GiveUp  time.Duration
-	// MaxLate is how late an order may arrive and still be started. It must be
-	// below Silence, so that a late order doesn't begin after its entry was given up.
+	// Lease is the duration of the leases that agents request from workers.
+	Lease time.Duration
+	// Stop is the longest time that a worker takes to stop a run.
+	Stop time.Duration
+	// GiveUp is how long an entry waits for a lost link to an agent to come back
+	// before it abandons the jobs on it.
+	GiveUp time.Duration
+	// MaxLate is the delay up to which an order that arrives is still started. It
+	// must be below Silence, so that a stale order does not start after its entry
+	// has timed out.
 	MaxLate time.Duration
-	// RunsOver is how long after the last frame an entry sent to an agent that it
-	// can't reach all runs that it ordered there have ended.
+	// RunsOver is how long after an entry's last frame to an unreachable agent all
+	// runs that the entry ordered there have ended.
 	RunsOver time.Duration
 }
 
 const (
-	// ClockError is by how much a worker's clock may be slow, as its service
-	// states.
+	// ClockError is the fraction by which a worker's clock may be slow, according to
+	// its service.
 	ClockError = 0.02
-	// Slack covers timers that fire late, messages under way, and a processor
-	// that has used up its share for the rest of a tenth of a second.
+	// Slack covers timers that fire late, messages in flight, and CPU throttling: a
+	// process that has used up its CPU quota is paused for up to 100 ms.
 	Slack = 150 * time.Millisecond
-	// silencePart is the part of Resend that an entry may be silent. Short enough
-	// for Stop and a lease after it, long enough to outlast a new connection.
-	silencePart = 0.45
-	// giveUpPart is the part of Resend that an entry waits for an agent to come
-	// back on a new connection.
-	giveUpPart = 0.3
-	// leasePart is the part of Resend that a lease may last.
-	leasePart = 0.6
-	// latePart is the part of Silence by which an order may be late.
-	latePart = 0.3
-	// defaultResend, defaultLease and defaultStop are for deployments that don't
-	// state theirs: a few of the shortest usual tasks.
+	// entryTimeoutFraction is Silence as a fraction of Resend. It leaves time for Stop
+	// and a lease after it, and is long enough to establish a new connection.
+	entryTimeoutFraction = 0.45
+	// reconnectFraction is GiveUp as a fraction of Resend: the time for an agent to
+	// come back on a new connection.
+	reconnectFraction = 0.3
+	// leaseFraction is the longest lease as a fraction of Resend.
+	leaseFraction = 0.6
+	// orderDelayFraction is MaxLate as a fraction of Silence.
+	orderDelayFraction = 0.3
+	// defaultResend, defaultLease and defaultStop apply to deployments that don't set
+	// theirs. They allow for a few of the shortest common tasks.
 	defaultResend = 1300 * time.Millisecond
 	defaultLease  = time.Second
 	defaultStop   = 50 * time.Millisecond
 )
 
-// Derive returns times that keep the bound.
+// Derive returns times that satisfy the bounds, or ErrTooTight.
 func Derive(g Given) (Times, error) {
 	resend := cmp.Or(g.Resend, defaultResend)
 	t := Times{
-		Silence: part(resend, silencePart),
-		Lease:   min(cmp.Or(g.MaxLease, defaultLease), part(resend, leasePart)),
+		Silence: scale(resend, entryTimeoutFraction),
+		Lease:   min(cmp.Or(g.MaxLease, defaultLease), scale(resend, leaseFraction)),
 		Stop:    cmp.Or(g.Stop, defaultStop),
-		GiveUp:  part(resend, giveUpPart),
+		GiveUp:  scale(resend, reconnectFraction),
 	}
-	t.MaxLate = part(t.Silence, latePart)
-	lapse := Lapse(t.Lease)
-	t.RunsOver = t.Silence + t.Stop + lapse + Slack
-	if t.RunsOver > t.GiveUp+resend || max(t.Silence+t.Stop, lapse)+Slack > resend {
-		return t, ErrTooTight.New("jobs are sent again after %v; a stop of %v and a lease of %v leave no time to end their runs", resend, t.Stop, t.Lease)
+	t.MaxLate = scale(t.Silence, orderDelayFraction)
+	leaseExpiry := Lapse(t.Lease)
+	t.RunsOver = t.Silence + t.Stop + leaseExpiry + Slack
+	if t.RunsOver > t.GiveUp+resend || max(t.Silence+t.Stop, leaseExpiry)+Slack > resend {
+		return t, ErrTooTight.New("a resend after %v leaves too little time to end runs with a stop time of %v and a lease of %v", resend, t.Stop, t.Lease)
 	}
 	return t, nil
 }
 
-// Lapse is when a lease on a worker's clock has certainly ended on ours.
+// Lapse returns the time, by this process's clock, after which a lease kept by a
+// worker's clock has certainly ended.
 func Lapse(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 + ClockError))
 }
 
-func part(d time.Duration, p float64) time.Duration {
-	return time.Duration(float64(d) * p).Round(time.Millisecond)
+func scale(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(d) * fraction).Round(time.Millisecond)
 }
--- a/dispatch/bounds/bounds_test.go
+++ b/dispatch/bounds/bounds_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A caller sends its job again after Resend. Whatever was lost meanwhile, the first
-// entry's runs must have ended by then, or a certificate is stamped twice at once.
+// A caller sends its job again after Resend. Whatever has failed, the first entry's
+// runs must have ended by then; otherwise a task would run twice at the same time.
 func TestRunsEndBeforeTheJobIsSentAgain(t *testing.T) {
 	for _, g := range []Given{
 		{},
@@ -24,20 +24,20 @@
 			resend = defaultResend
 		}
 		if worst := times.Silence + times.Stop + Lapse(times.Lease) + Slack; worst > times.GiveUp+resend {
-			t.Errorf("%+v: runs may last %v, and the job may be sent again after %v", g, worst, times.GiveUp+resend)
+			t.Errorf("%+v: runs may last %v, but the job may be sent again after %v", g, worst, times.GiveUp+resend)
 		}
 		if g.MaxLease > 0 && times.Lease > g.MaxLease {
 			t.Errorf("%+v: lease %v is longer than the worker grants", g, times.Lease)
 		}
 		if times.MaxLate >= times.Silence {
-			t.Errorf("%+v: an order may start after its entry was given up", g)
+			t.Errorf("%+v: an order may start after its entry has timed out", g)
 		}
 	}
 }
 
-// A worker takes longer to stop a run than a caller waits before it sends its job
-// again. No figures can keep two runs apart, so the process must not start.
-func TestImpossibleBoundsAreRefused(t *testing.T) {
+// Stopping a run takes so long, compared with the time after which callers send a
+// job again, that no values satisfy the bounds. The process must not start.
+func TestUnsatisfiableBoundsRejected(t *testing.T) {
 	_, err := Derive(Given{Resend: 300 * time.Millisecond, MaxLease: time.Second, Stop: 250 * time.Millisecond})
 	if err == nil {
 		t.Error("no error")
