--- a/dispatch/hlc/hlc.go
+++ b/dispatch/hlc/hlc.go
@@ -1,13 +1,12 @@
-// Package hlc is a hybrid logical clock: timestamps that stay close to wall
-// time and that order an event before every event it has caused, on whichever
-// process that happens.
+// Package hlc implements a hybrid logical clock: timestamps that stay close to wall
+// time and that order each event before the events it causes, on any process.
 //
 // A timestamp is one uint64, 48 bits of Unix milliseconds above a 16-bit logical
-// counter, so that timestamps compare as integers and travel in a fixed field.
-// More than 65,536 timestamps in one millisecond carry into the next one. Zero
-// is no timestamp: messages of processes without a clock carry it.
+// counter, so that timestamps compare as integers and fit a fixed-size field. More
+// than 65,536 timestamps in one millisecond overflow into the next one. Zero means no
+// timestamp; messages of processes without a clock carry it.
 //
-// The package reads no clock: wall time is an argument.
+// The package reads no clock: wall time is passed in.
 package hlc
 
 import (
@@ -15,33 +14,33 @@
 	"time"
 )
 
-// LogicalBits is the width of the logical counter in a timestamp.
+// LogicalBits is the width in bits of the logical counter in a timestamp.
 const LogicalBits = 16
 
 // MaxAhead is how far ahead of the local wall clock a peer's timestamp may be.
 //
-// A host whose clock is set wrong would otherwise pull every process it talks
-// to into the future for good, and the time line would show the fleet's events
-// at times that never were. Timestamps beyond the bound are not taken over and
-// are counted, so the host can be found.
+// Without the bound, a host whose clock is wrong would permanently move the clocks of
+// all processes that it communicates with into the future, and the time line would
+// show wrong times for their events. Timestamps beyond the bound are ignored and
+// counted, so that the host can be found.
 const MaxAhead = time.Minute
 
-// Clock issues timestamps. The zero value is ready for use, and a Clock must
-// not be copied. All methods may be called from any goroutine and never block.
+// Clock issues timestamps. The zero value is ready to use. A Clock must not be
+// copied. Its methods are safe for concurrent use and never block.
 type Clock struct {
 	last     atomic.Uint64
 	rejected atomic.Uint64
 }
 
-// Now returns a timestamp above all that c has issued or observed, and not
-// before wall.
+// Now returns a timestamp that is greater than all that c has issued or observed, and
+// not before wall.
 func (c *Clock) Now(wall time.Time) uint64 {
 	return c.advance(Pack(wall, 0))
 }
 
-// Observe takes over a timestamp that came with a message, so that later ones
-// of c are above it. It reports false, and leaves c alone, if remote is more
-// than MaxAhead ahead of wall. Zero is accepted and means nothing.
+// Observe advances c to a timestamp received with a message, so that later timestamps
+// of c are greater. It reports false, and leaves c unchanged, if remote is more than
+// MaxAhead ahead of wall. It accepts and ignores zero.
 func (c *Clock) Observe(remote uint64, wall time.Time) bool {
 	if remote == 0 {
 		return true
@@ -58,7 +57,7 @@
 	}
 }
 
-// Rejected counts the timestamps that Observe has refused.
+// Rejected returns the number of timestamps that Observe has rejected.
 func (c *Clock) Rejected() uint64 { return c.rejected.Load() }
 
 func (c *Clock) advance(floor uint64) uint64 {
--- a/dispatch/hlc/hlc_test.go
+++ b/dispatch/hlc/hlc_test.go
@@ -10,9 +10,9 @@
 
 var epoch = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func TestNowGrowsWhileWallTimeStandsOrSteps(t *testing.T) {
-	// A host's wall clock is set back by its time service; without the logical
-	// part, an answer would be listed before the job it answers.
+func TestNowIncreasesWhenWallTimeDoesNot(t *testing.T) {
+	// A host's wall clock is set back by its time service. Without the logical
+	// counter, an answer would be listed before its job.
 	var c Clock
 	steps := []time.Duration{0, 0, time.Millisecond, -time.Hour, -time.Hour, time.Second}
 	var last uint64
@@ -29,8 +29,8 @@
 }
 
 func TestObserveBoundsPeersAhead(t *testing.T) {
-	// A host starts with its clock a year ahead. Were its timestamps taken over,
-	// every event of the processes around it would show next year's date.
+	// A host starts with its clock a year ahead. If its timestamps were accepted, the
+	// events of all connected processes would show next year's date.
 	tests := []struct {
 		name  string
 		ahead time.Duration
@@ -66,23 +66,23 @@
 	}
 }
 
-func TestCausesComeFirst(t *testing.T) {
-	// Hosts' clocks differ by seconds, and messages hop between them. Each event
-	// must still sort after what caused it, or the time line misleads.
+func TestEventsSortAfterTheirCauses(t *testing.T) {
+	// Hosts' clocks differ by seconds, and messages pass between them. Each event must
+	// still sort after its cause, or the time line would be misleading.
 	rapid.Check(t, func(rt *rapid.T) {
 		clocks := make([]Clock, 3)
 		skews := rapid.SliceOfN(rapid.IntRange(-20_000, 20_000), 3, 3).Draw(rt, "skews")
-		var carried uint64
+		var received uint64
 		for i, node := range rapid.SliceOfN(rapid.IntRange(0, 2), 1, 50).Draw(rt, "hops") {
 			wall := epoch.Add(time.Duration(skews[node]+i) * time.Millisecond)
-			if !clocks[node].Observe(carried, wall) {
+			if !clocks[node].Observe(received, wall) {
 				rt.Fatalf("rejected within the bound")
 			}
 			next := clocks[node].Now(wall)
-			if next <= carried {
-				rt.Fatalf("hop %d: %d is not above its cause %d", i, next, carried)
+			if next <= received {
+				rt.Fatalf("hop %d: %d is not above its cause %d", i, next, received)
 			}
-			carried = next
+			received = next
 		}
 	})
 }
--- a/dispatch/hlc/seed_test.go
+++ b/dispatch/hlc/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// CI must come to the same verdict each time; -rapid.seed=0 draws anew.
+// A fixed seed makes CI runs reproducible; -rapid.seed=0 selects a random seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
