--- a/dispatch/event/event.go
+++ b/dispatch/event/event.go
@@ -1,9 +1,9 @@
-// Package event records what a process decided and when, in a bounded ring, as
-// the material for the time line over all processes.
+// Package event records the decisions of a process with their times in a bounded
+// ring. The time line over all processes is assembled from these records.
 //
-// Recording allocates nothing and takes no lock that another slot's writer
-// holds, so that decision code records at each decision point. The ring keeps
-// the newest events; it is a window, not a log, and says how many it dropped.
+// Recording does not allocate, and writers of different slots don't contend for a
+// lock, so it is cheap enough for every decision point. The ring is not a log: it
+// keeps only the newest events, and counts those that it has overwritten.
 package event
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/papayahoist/papayahoist/dispatch/hlc"
 )
 
-// Event is one decision or change of state. Which fields are set depends on
-// Kind. Strings are kept by reference: pass ones that don't pin larger buffers.
+// Event is one decision or state change. Which fields are set depends on Kind. The
+// ring retains the strings, so they must not keep larger buffers alive.
 type Event struct {
 	// Clock is the hybrid logical timestamp; Ring.Record sets it.
 	Clock    uint64
@@ -26,29 +26,29 @@
 	Value    uint64
 	Job      string
 	Contract string
-	// Peer is the entry or agent at the other end.
+	// Peer is the entry or agent at the other end of the link.
 	Peer   string
 	Detail string
 }
 
-// DefaultSize is the number of events a ring holds unless told otherwise.
+// DefaultSize is the default number of events that a ring holds.
 const DefaultSize = 8192
 
-// Options of a Ring.
+// Options configure a Ring.
 type Options struct {
 	// Process is the name of the recording process, an entry or an agent.
 	Process string
-	// Worker that the process stands beside; empty for entries.
+	// Worker is the worker that the process runs beside; empty for entries.
 	Worker string
-	// Size is the number of events kept, rounded up to a power of two; zero
-	// takes DefaultSize. An event takes 104 bytes, and what its strings pin.
+	// Size is the number of events kept, rounded up to a power of two; zero means
+	// DefaultSize. An event takes 104 bytes plus the memory that its strings refer to.
 	Size int
-	// Clock stamps the events; nil takes a clock of the ring's own.
+	// Clock stamps the events. If it is nil, the ring uses a clock of its own.
 	Clock *hlc.Clock
 }
 
-// Ring keeps the newest events of one process. All methods may be called from
-// any goroutine. A nil Ring accepts events and drops them.
+// Ring keeps the newest events of one process. Its methods are safe for concurrent
+// use. A nil Ring discards events.
 type Ring struct {
 	process string
 	worker  string
@@ -59,14 +59,15 @@
 	totals  [kindCount]total
 }
 
-// total counts the events of a kind and sums up their values, since the start.
+// total holds the number of events of a kind since the start and the sum of their
+// values.
 type total struct{ events, value atomic.Uint64 }
 
-// A slot's lock is held for one copy of an event. Writers meet on it only when
-// one is a whole ring behind the other.
+// slot holds one event. Its lock is held only while an event is copied. Writers
+// contend for it only if one is a whole ring behind the other.
 type slot struct {
 	mu sync.Mutex
-	// number of the event from 1; zero: never written.
+	// number of the event, counted from 1; zero if the slot was never written.
 	number uint64
 	event  Event
 }
@@ -92,7 +93,7 @@
 	}
 }
 
-// Record stamps e and keeps it, in place of the oldest event if the ring is full.
+// Record stamps and stores e. It overwrites the oldest event if the ring is full.
 func (r *Ring) Record(now time.Time, e Event) {
 	if r == nil {
 		return
@@ -107,9 +108,8 @@
 	number := r.next.Add(1)
 	s := &r.slots[number&r.mask]
 	s.mu.Lock()
-	// A writer that was paused between taking its number and the lock may find
-	// the slot taken by a newer event; writing would put an old event among
-	// new ones and lose the newer one.
+	// A writer that was paused between obtaining its number and the lock may find a
+	// newer event in the slot, which it must not overwrite with its old one.
 	if s.number < number {
 		s.number = number
 		s.event = e
@@ -117,7 +117,7 @@
 	s.mu.Unlock()
 }
 
-// Stamp returns a timestamp for a message to another process; zero for a nil Ring.
+// Stamp returns a timestamp for a message to another process, or zero if r is nil.
 func (r *Ring) Stamp(now time.Time) uint64 {
 	if r == nil {
 		return 0
@@ -125,15 +125,15 @@
 	return r.clock.Now(now)
 }
 
-// Observe takes over the timestamp of a message from another process, so that
-// events recorded later sort after those that led to the message. It reports
-// false for a timestamp that is too far ahead; see hlc.Clock.
+// Observe advances the clock to the timestamp of a message from another process, so
+// that events recorded later sort after those that led to the message. It reports
+// false for a timestamp that is too far ahead; see hlc.Clock.Observe.
 func (r *Ring) Observe(remote uint64, now time.Time) bool {
 	return r == nil || r.clock.Observe(remote, now)
 }
 
-// Count returns how many events of kind k were recorded since the start,
-// overwritten ones included, and the sum of their values.
+// Count returns the number of events of kind k recorded since the start, including
+// overwritten ones, and the sum of their values.
 func (r *Ring) Count(k Kind) (events, value uint64) {
 	if r == nil || k >= kindCount {
 		return 0, 0
@@ -141,7 +141,7 @@
 	return r.totals[k].events.Load(), r.totals[k].value.Load()
 }
 
-// Overwritten counts the events dropped since the process started.
+// Overwritten returns the number of events overwritten since the process started.
 func (r *Ring) Overwritten() uint64 {
 	if r == nil {
 		return 0
@@ -161,7 +161,7 @@
 	return r.process
 }
 
-// Worker returns the worker that the recording process stands beside.
+// Worker returns the worker that the recording process runs beside.
 func (r *Ring) Worker() string {
 	if r == nil {
 		return ""
@@ -169,33 +169,33 @@
 	return r.worker
 }
 
-// Filter selects events; zero fields select all.
+// Filter selects events. Zero fields match all events.
 type Filter struct {
 	Job      string
 	Contract string
-	// Worker selects events whose Peer it is, and all events of the process
-	// that stands beside it. An agent's name selects in the same way.
+	// Worker selects the events whose Peer it is, and all events of the process that
+	// runs beside it. An agent's name selects in the same way.
 	Worker string
-	// From and Until bound the wall time in the timestamps, Until excluded.
+	// From (inclusive) and Until (exclusive) bound the wall time of the events.
 	From, Until time.Time
-	// Limit keeps the newest matches only; zero keeps all.
+	// Limit is the number of newest matches to return; zero means all.
 	Limit int
 }
 
 // Snapshot is a copy of the matching events in order of their timestamps.
 type Snapshot struct {
 	Events []Event
-	// Oldest is the timestamp of the oldest event in the ring, matching or not:
-	// nothing is known of the time before. Zero: the ring is empty.
+	// Oldest is the timestamp of the oldest event in the ring, matching or not.
+	// Earlier events are not available. It is zero if the ring is empty.
 	Oldest uint64
 	// Overwritten is Ring.Overwritten at the time of the copy.
 	Overwritten uint64
-	// Limited is set if the filter's limit left out older matches.
+	// Limited is set if older matches were omitted because of the filter's limit.
 	Limited bool
 }
 
-// Snapshot copies the events that f selects. Writers wait for it at most one
-// event's copy each.
+// Snapshot returns a copy of the events that f selects. It blocks a writer at most
+// for the time to copy one event.
 func (r *Ring) Snapshot(f Filter) Snapshot {
 	if r == nil {
 		return Snapshot{}
@@ -225,7 +225,7 @@
 	return result
 }
 
-// matcher is a filter with its times as timestamps.
+// matcher is a Filter with its times converted to timestamps.
 type matcher struct {
 	job, contract, peer string
 	from, until         uint64
--- a/dispatch/event/event_test.go
+++ b/dispatch/event/event_test.go
@@ -16,9 +16,9 @@
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestRingKeepsTheNewest(t *testing.T) {
-	// A burst writes more events than the ring holds. Whoever reads the time line
-	// must see that its beginning is missing, not take it for a quiet hour.
+func TestRingKeepsNewestEvents(t *testing.T) {
+	// A burst writes more events than the ring holds. The snapshot must show that
+	// earlier events are missing, as opposed to none having happened.
 	r := NewRing(Options{Size: 4})
 	for i := range 10 {
 		r.Record(at(i), Event{Kind: TaskStarted, Task: uint32(i)})
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestCountsOutliveTheRing(t *testing.T) {
+func TestCountsIncludeOverwrittenEvents(t *testing.T) {
 	r := NewRing(Options{Size: 2})
 	for range 5 {
 		r.Record(epoch, Event{Kind: CreditsGranted, Value: 3})
@@ -88,11 +88,11 @@
 		t.Errorf("counted %d events with value %d, want 5 with 15", n, v)
 	}
 	if n, _ := r.Count(255); n != 0 {
-		t.Errorf("counted %d events of no kind", n)
+		t.Errorf("counted %d events of an unknown kind", n)
 	}
 }
 
-func TestStampsFollowPeers(t *testing.T) {
+func TestStampsFollowObservedTimestamps(t *testing.T) {
 	r := NewRing(Options{Size: 2})
 	ahead := hlc.Pack(epoch.Add(time.Second), 5)
 	if !r.Observe(ahead, epoch) || r.Stamp(epoch) <= ahead {
@@ -110,11 +110,11 @@
 		t.Error("a nil ring counts or stamps")
 	}
 	if s := r.Snapshot(Filter{}); len(s.Events) != 0 || r.Overwritten() != 0 || r.Process() != "" || r.Worker() != "" {
-		t.Error("a nil ring holds something")
+		t.Error("a nil ring is not empty")
 	}
 }
 
-func TestManyWritersAndReaders(t *testing.T) {
+func TestConcurrentWritersAndReaders(t *testing.T) {
 	const writers, each, size = 8, 2000, 256
 	r := NewRing(Options{Size: size})
 	var wg sync.WaitGroup
@@ -163,8 +163,8 @@
 	}
 }
 
-// BenchmarkSnapshot gives the cost of one request for the time line of one job,
-// which looks at every event.
+// BenchmarkSnapshot measures one request for the time line of one job, which scans
+// every event.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []int{8 << 10, 128 << 10, 1 << 20} {
 		b.Run(strconv.Itoa(size), func(b *testing.B) {
@@ -180,8 +180,8 @@
 	}
 }
 
-// BenchmarkRecord gives the cost per event on one goroutine, and with all
-// processors writing to one ring.
+// BenchmarkRecord measures the cost per event on one goroutine, with all processors
+// writing to one ring, and for a nil ring.
 func BenchmarkRecord(b *testing.B) {
 	e := Event{Kind: TaskDispatched, Job: "home.1", Contract: "reports", Peer: "agent-1"}
 	b.Run("alone", func(b *testing.B) {
--- a/dispatch/event/kind.go
+++ b/dispatch/event/kind.go
@@ -1,63 +1,64 @@
 package event
 
-// Kind says what happened.
+// Kind is the kind of an event.
 type Kind uint8
 
-// Kinds of events. The comment says who records it and what Peer, Value and
-// Detail hold; Job, Contract and Task are set where they apply.
+// Kinds of events. The comments state which process records the event and what Peer,
+// Value and Detail hold. Job, Contract and Task are set where they apply.
 const (
 	// Unspecified is no event.
 	Unspecified Kind = iota
 
 	// JobAccepted is recorded by the home entry. Value: number of tasks.
 	JobAccepted
-	// JobJoined is recorded when a resubmission met the job already known.
+	// JobJoined is recorded when a resubmission finds that the job is already known.
 	JobJoined
-	// JobForwarded is recorded by an entry that passes a job on. Peer: the home.
+	// JobForwarded is recorded by an entry that forwards a job. Peer: the home.
 	JobForwarded
 	// JobRefused is recorded when a job ends as "not run" before any dispatch.
 	// Detail: the error code.
 	JobRefused
-	// JobCancelled is recorded when the caller gives a job up.
+	// JobCancelled is recorded when the caller cancels a job.
 	JobCancelled
 	// JobAnswered is recorded when the outcome is final. Detail: outcome and
 	// error code. Value: milliseconds since the job was accepted.
 	JobAnswered
-	// JobFenced is recorded by an agent that refuses every later start of a job,
-	// and by the entry that asked for it. Peer: the other side.
+	// JobFenced is recorded by an agent that will refuse every later start of a job,
+	// and by the entry that requested it. Peer: the other side.
 	JobFenced
 
 	// CreditsGranted is recorded by the granting agent and the receiving entry.
 	// Value: number of credits. Peer: the other side.
 	CreditsGranted
-	// CreditsRecalled is recorded by an agent that wants credits back.
+	// CreditsRecalled is recorded by an agent that recalls credits.
 	CreditsRecalled
-	// CreditsReturned is recorded by the entry that gives credits back, and by the agent.
+	// CreditsReturned is recorded by the entry that returns credits, and by the agent.
 	CreditsReturned
-	// CreditsLost is recorded when credits end with their link.
+	// CreditsLost is recorded when credits are lost with their link.
 	CreditsLost
 
 	// TaskDispatched is recorded by the home entry. Peer: the agent.
 	TaskDispatched
-	// TaskResent is recorded when the home repeats a start over a new link. Peer: the agent.
+	// TaskResent is recorded when the home resends a start over a new link. Peer: the agent.
 	TaskResent
 	// TaskStarted is recorded by the agent. Peer: the entry.
 	TaskStarted
 	// TaskDuplicate is recorded by an agent that dropped a repeated start.
 	TaskDuplicate
-	// TaskResult is recorded by the agent at the end of a task, and by the home
-	// when it learns of it. Detail: outcome. Value: run time in milliseconds.
+	// TaskResult is recorded by the agent at the end of a task, and by the home when
+	// it receives the result. Detail: outcome. Value: run time in milliseconds.
 	TaskResult
-	// TaskRefused is recorded by an agent that will never start the task, and by
-	// the home when it learns so. Detail: reason.
+	// TaskRefused is recorded by an agent that will never start the task, and by the
+	// home when it receives the refusal. Detail: reason.
 	TaskRefused
-	// TaskRevoked is recorded by the home that asks, and by the agent that obeys.
+	// TaskRevoked is recorded by the home that revokes a task, and by the agent that
+	// complies.
 	TaskRevoked
-	// TaskUnknown is recorded by the home when neither a start nor its absence
-	// can be proven any more. Detail: why.
+	// TaskUnknown is recorded by the home when it can no longer be determined whether
+	// the task was started. Detail: reason.
 	TaskUnknown
-	// RecordsEvicted is recorded by an agent that dropped what it knew of old
-	// jobs. Value: number of records.
+	// RecordsEvicted is recorded by an agent that dropped its records of old jobs.
+	// Value: number of records.
 	RecordsEvicted
 
 	// LinkUp and LinkDown are recorded by both ends. Peer: the other side.
@@ -66,14 +67,14 @@
 	LinkDown
 	// PeerSuspected is recorded when a peer missed an acknowledgement or heartbeat.
 	PeerSuspected
-	// PeerBack is recorded when a suspected peer is heard again.
+	// PeerBack is recorded when a suspected peer responds again.
 	PeerBack
-	// PeerGone is recorded when a peer is given up or replaced. Detail: reason.
+	// PeerGone is recorded when a peer is abandoned or replaced. Detail: reason.
 	PeerGone
-	// WorkerSuspended is recorded by an entry that holds work back from a worker
-	// where tasks fail. Peer: its agent. Detail: reason.
+	// WorkerSuspended is recorded by an entry that sends no work to a worker because
+	// tasks fail there. Peer: its agent. Detail: reason.
 	WorkerSuspended
-	// WorkerTrial is recorded when a suspended worker gets one task to prove itself.
+	// WorkerTrial is recorded when a suspended worker gets a single task as a probe.
 	WorkerTrial
 	// WorkerResumed is recorded when a suspended worker gets work again.
 	WorkerResumed
@@ -81,7 +82,7 @@
 	// ConfigInForce is recorded when a contract's revision takes effect here.
 	// Value: revision.
 	ConfigInForce
-	// ConfigStale is recorded when an older revision arrived and was ignored.
+	// ConfigStale is recorded when a stale revision is received and ignored.
 	ConfigStale
 	// StoreLost and StoreBack are recorded by entries. Detail: error.
 	StoreLost
@@ -89,7 +90,8 @@
 
 	// ProcessStarted is the first event of a process. Detail: version.
 	ProcessStarted
-	// DrainBegun and DrainEnded frame a planned stop. Detail: what was left.
+	// DrainBegun and DrainEnded mark the begin and end of a planned stop. Detail: what
+	// was left.
 	DrainBegun
 	DrainEnded
 	// ClockRejected is recorded when a peer's clock is too far ahead. Peer: that peer.
@@ -138,7 +140,7 @@
 	ClockRejected:   "clock-rejected",
 }
 
-// String returns the name of k as it stands in time lines.
+// String returns the name of k as used in time lines.
 func (k Kind) String() string {
 	if k < kindCount {
 		return kindNames[k]
@@ -146,8 +148,8 @@
 	return kindNames[Unspecified]
 }
 
-// ParseKind returns the kind of a name; Unspecified and false for other names,
-// as sent by a newer process.
+// ParseKind returns the kind with the given name. For other names, such as those sent
+// by a newer process, it returns Unspecified and false.
 func ParseKind(name string) (Kind, bool) {
 	for k, n := range kindNames {
 		if n == name {
@@ -157,7 +159,7 @@
 	return Unspecified, false
 }
 
-// Kinds returns all kinds but Unspecified, in their order.
+// Kinds returns all kinds except Unspecified, in order.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, kindCount-1)
 	for k := Unspecified + 1; k < kindCount; k++ {
@@ -166,7 +168,7 @@
 	return kinds
 }
 
-// AboutTask reports whether Event.Task means something in events of kind k.
+// AboutTask reports whether Event.Task is meaningful for events of kind k.
 func (k Kind) AboutTask() bool {
 	return k >= TaskDispatched && k <= TaskUnknown
 }
