--- a/dispatch/entry/shares.go
+++ b/dispatch/entry/shares.go
@@ -78,7 +78,7 @@
 	e.ready.Exchange = true
 }
 
-// updateDemand updates this entry's updateDemand for each contract.
+// updateDemand updates this entry's demand for each contract.
 func (e *Entry) updateDemand() {
 	for name := range e.policy.contracts {
 		waiting := e.policy.sched.WaitingOf(name)
