--- a/dispatch/entry/agents.go
+++ b/dispatch/entry/agents.go
@@ -289,7 +289,8 @@
 		return
 	}
 	if a.session.Silent(now) {
-		// The agent was probably paused. A new link carries what was missed.
+		// The link has timed out, as after a pause of the agent. A new link carries what
+		// was missed.
 		e.tickAgent(now, a)
 		return
 	}
--- a/dispatch/entry/job.go
+++ b/dispatch/entry/job.go
@@ -37,9 +37,9 @@
 	tasks       []taskState
 	queued      *place.Job // holds the waiting tasks
 	class       pb.Class
-	openTasks   int  // tasks that have not ended
-	mayHaveRun  bool // some task has run or may have run
-	pending     *pb.Answer
+	openTasks   int        // tasks that have not ended
+	mayHaveRun  bool       // some task has run, or it can no longer be ruled out
+	pending     *pb.Answer // of a job that ends early, until it is sent
 	answer      *pb.Answer
 	answeredAt  time.Time
 	resultBytes int // bytes of results in the answer
@@ -66,7 +66,7 @@
 
 // Admissions.
 const (
-	// Accepted: the job was accepted. Ready returns its answer.
+	// Accepted: the job was accepted. A later Ready returns its answer.
 	Accepted Admission = iota
 	// Joined: the same job was submitted before and has no answer yet.
 	Joined
@@ -89,7 +89,7 @@
 		return e.submitKey(now, j, name, digest)
 	}
 	if err != nil || id.Home.Incarnation != e.opts.Hello.Incarnation {
-		return Answered, rejectRequest(j.Id, jobs.CodeBadRequest, "the id's home token is not from this entry")
+		return Answered, rejectRequest(j.Id, jobs.CodeBadRequest, "the id does not name this entry")
 	}
 	period := id.Home.Period
 	if !e.retired.live(now, period) {
@@ -461,7 +461,7 @@
 }
 
 func conflict(id string) *pb.Answer {
-	return rejectRequest(id, jobs.CodeConflict, "the id was used for another body, of which nothing was started")
+	return rejectRequest(id, jobs.CodeConflict, "the id was used before with another body; nothing of this one was started")
 }
 
 // Before implements indexheap.Item. The earliest deadline comes first.
--- a/dispatch/entry/retired.go
+++ b/dispatch/entry/retired.go
@@ -56,7 +56,8 @@
 	return 0
 }
 
-// minBuckets is the least number of periods that the ids are spread over at the bound.
+// minBuckets bounds the ids of one period: a new period starts once the current one
+// holds maxIDs/minBuckets ids.
 const minBuckets = 8
 
 func newRetiredIDs(now time.Time, o Options) *retiredIDs {
