--- a/dispatch/place/bound.go
+++ b/dispatch/place/bound.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// The plain policies bind a task to an agent on arrival, where it then waits
-// even if another agent is free. This file keeps one queue for each agent, so
-// that they can be compared with late binding under the same limits and order.
+// Early-binding policies bind a task to an agent on arrival, where it waits even
+// if another agent is free. This file keeps one queue per agent, so that these
+// policies can be compared with late binding under the same limits and order.
 
-// pushBound binds each task of a job; tasks for the same agent stay together. It
-// returns false and changes nothing if the picker has no agent for some task.
+// pushBound binds each task of a job to an agent and queues it there; tasks bound
+// to the same agent stay together. It returns false and changes nothing if the
+// picker has no agent for one of the tasks.
 func (s *Scheduler) pushBound(j *Job) bool {
 	agents := make([]*Agent, len(j.Tasks))
 	for i := range j.Tasks {
@@ -24,22 +25,22 @@
 	var added []*Job
 	for i, a := range agents {
 		a.boundUnits += a.units(j.Tasks[i].Memory)
-		pos := slices.IndexFunc(added, func(part *Job) bool { return part.agent == a })
+		pos := slices.IndexFunc(added, func(sub *Job) bool { return sub.agent == a })
 		if pos < 0 {
 			pos = len(added)
 			added = append(added, &Job{
 				ID: j.ID, Contract: j.Contract, Kind: j.Kind,
-				Due: j.Due, Deadline: j.Deadline, MinRun: j.MinRun, whole: j, agent: a,
+				Due: j.Due, Deadline: j.Deadline, MinRun: j.MinRun, parent: j, agent: a,
 			})
 		}
 		added[pos].Tasks = append(added[pos].Tasks, j.Tasks[i])
 	}
 	j.Tasks = nil
 	j.queue = nil
-	j.parts = append(j.parts, added...)
-	for _, part := range added {
-		part.queue = s.boundQueue(part.agent)
-		part.queue.Push(part)
+	j.subjobs = append(j.subjobs, added...)
+	for _, sub := range added {
+		sub.queue = s.boundQueue(sub.agent)
+		sub.queue.Push(sub)
 	}
 	return true
 }
@@ -47,8 +48,8 @@
 func (s *Scheduler) boundQueue(a *Agent) *Queue {
 	if a.bound == nil {
 		a.bound = NewQueue()
-		for name, sh := range s.weights {
-			a.bound.SetContract(name, sh.class, sh.weight)
+		for name, params := range s.contracts {
+			a.bound.SetContract(name, params.class, params.weight)
 		}
 	}
 	return a.bound
@@ -63,7 +64,7 @@
 			if a.usable() < a.units(j.Tasks[0].Memory) {
 				break
 			}
-			if p, ok := s.take(now, a.bound, j, a); ok {
+			if p, ok := s.tryPlace(now, a.bound, j, a); ok {
 				return p, true
 			}
 		}
@@ -71,7 +72,8 @@
 	return Placement{}, false
 }
 
-// rebind binds the tasks of a queue anew: its agent is gone, or there was none.
+// rebind binds the tasks of a queue to agents again, after the agent of the queue
+// was removed or when the tasks arrived before any agent.
 func (s *Scheduler) rebind(q *Queue) {
 	var jobs []*Job
 	for _, name := range slices.Sorted(maps.Keys(q.flows)) {
@@ -79,8 +81,8 @@
 		for f.jobs.Len() > 0 {
 			j := f.jobs.First()
 			tasks := q.Remove(j)
-			if j.whole != nil {
-				j = j.whole
+			if j.parent != nil {
+				j = j.parent
 			}
 			j.Tasks = append(j.Tasks, tasks...)
 			jobs = append(jobs, j)
--- a/dispatch/place/picker.go
+++ b/dispatch/place/picker.go
@@ -7,39 +7,38 @@
 
 // Need describes the tasks to place.
 type Need struct {
-	// Memory and Run are the first task's, Tasks counts it and those that wait
-	// behind it in the same job.
+	// Memory, in bytes, and Run, the expected run time, are those of the first
+	// task. Tasks is the number of waiting tasks of the job, including the first.
 	Memory uint64
 	Run    time.Duration
 	Tasks  int
 }
 
-// Picker chooses agents. Implementations may keep state and are called from one
-// thread at a time.
+// Picker chooses agents. Implementations may keep state; they need not be safe
+// for concurrent use.
 type Picker interface {
-	// Pick returns an agent that can start a task of the need now, or nil.
+	// Pick returns an agent that can start the first task of need now, or nil.
 	Pick(p *Pool, need Need) *Agent
-	// Bind chooses the agent that a task will wait for, whether it has credits
-	// or not. It returns nil if tasks stay unbound until an agent can start
-	// them.
+	// Bind returns the agent that a task will wait for, regardless of the agent's
+	// credits. It returns nil if tasks stay unbound until an agent can start them.
 	Bind(p *Pool, need Need) *Agent
 }
 
-// scanLimit bounds the agents that a pick looks at. A rotating start gives every
-// agent its turn in larger pools.
+// scanLimit is the maximum number of agents that a pick examines. The scan starts
+// at a rotating position, so that larger pools use all their agents.
 const scanLimit = 128
 
-// Credits binds late: a task goes to the agent with credits where it is expected
-// to end first.
+// Credits is the late-binding policy: a task is sent to the agent with credits
+// where it is expected to end first.
 type Credits struct {
-	// MessageCost is how much later a task may end to save one message. It
-	// makes tasks of a job travel together.
+	// MessageCost is the delay of a task that is accepted to save one message. It
+	// favors sending several tasks of a job in one message.
 	MessageCost time.Duration
-	// CollisionCost is how much longer a task is taken to wait on an agent whose
-	// last spare slot it takes, when other entries may take it too.
+	// CollisionCost is the extra wait expected on an agent for the last spare
+	// slot, which other entries may fill at the same time.
 	CollisionCost time.Duration
-	// SpreadCost is how much longer a task is taken to run on an agent whose
-	// slots are all used than on an idle one.
+	// SpreadCost is the extra run time expected on an agent whose slots are all
+	// used, compared with an idle one.
 	SpreadCost time.Duration
 }
 
@@ -73,16 +72,17 @@
 	return best
 }
 
-// score is the expected time to the end of the need's first task, beyond its run
-// time on a usual agent, with the other costs in the same unit.
+// score returns the cost, in nanoseconds, of placing the first task of need on a:
+// the expected time to its end beyond its run time on an agent of average speed,
+// plus the costs of c.
 func (c *Credits) score(a *Agent, need Need) float64 {
 	score := float64(a.Distance) + float64(need.Run)*(a.Slowness-1)
-	score += float64(c.SpreadCost) * a.used()
-	together := min(a.usable(), need.Tasks)
+	score += float64(c.SpreadCost) * a.utilization()
+	batch := min(a.usable(), need.Tasks)
 	if a.shared {
 		score += float64(c.CollisionCost) / float64(max(a.spare, 1))
 	}
-	return score + float64(c.MessageCost)/float64(max(together, 1))
+	return score + float64(c.MessageCost)/float64(max(batch, 1))
 }
 
 // Random binds each task on arrival to an agent drawn at random.
@@ -92,7 +92,7 @@
 func (r *Random) Pick(*Pool, Need) *Agent { return nil }
 
 // Bind implements [Picker].
-func (r *Random) Bind(p *Pool, need Need) *Agent { return draw(p, need, r.Rand) }
+func (r *Random) Bind(p *Pool, need Need) *Agent { return randomAgent(p, need, r.Rand) }
 
 // TwoChoices binds each task on arrival to the less loaded of two agents drawn
 // at random.
@@ -103,15 +103,15 @@
 
 // Bind implements [Picker].
 func (t *TwoChoices) Bind(p *Pool, need Need) *Agent {
-	a, b := draw(p, need, t.Rand), draw(p, need, t.Rand)
+	a, b := randomAgent(p, need, t.Rand), randomAgent(p, need, t.Rand)
 	if a != nil && b.load() < a.load() {
 		return b
 	}
 	return a
 }
 
-// LeastLoaded binds each task on arrival to the agent with the least work from
-// this entry.
+// LeastLoaded binds each task on arrival to the agent with the least work of this
+// entry, relative to the agent's slots.
 type LeastLoaded struct{}
 
 // Pick returns nil: tasks wait for the agent that they are bound to.
@@ -131,15 +131,15 @@
 	return best
 }
 
-// drawTries bounds the draws for an agent that fits.
-const drawTries = 8
+// maxDraws bounds the random draws for an agent that can run the task.
+const maxDraws = 8
 
-func draw(p *Pool, need Need, r *rand.Rand) *Agent {
+func randomAgent(p *Pool, need Need, r *rand.Rand) *Agent {
 	if len(p.all) == 0 {
 		return nil
 	}
 	var a *Agent
-	for range drawTries {
+	for range maxDraws {
 		a = p.all[r.IntN(len(p.all))]
 		if a.units(need.Memory) <= a.Slots && a.Standing != Suspended {
 			break
--- a/dispatch/place/place_test.go
+++ b/dispatch/place/place_test.go
@@ -15,7 +15,7 @@
 
 func (noLimits) Allow(_ time.Time, _ string, tasks []Task) int { return len(tasks) }
 
-// fixedLimits allows so many tasks of a contract.
+// fixedLimits allows a fixed number of tasks of each contract.
 type fixedLimits map[string]int
 
 func (l fixedLimits) Allow(_ time.Time, contract string, tasks []Task) int {
@@ -46,7 +46,7 @@
 }
 
 func TestQueueOrder(t *testing.T) {
-	late := func(j *Job) *Job { j.Due = j.Due.Add(time.Hour); return j }
+	dueLater := func(j *Job) *Job { j.Due = j.Due.Add(time.Hour); return j }
 	ms := time.Millisecond
 	cases := []struct {
 		name string
@@ -54,7 +54,7 @@
 		want []string
 	}{
 		{"arrival decides between equals", []*Job{job("1", "a", 1, ms), job("2", "a", 1, ms)}, []string{"1", "2"}},
-		{"earlier due first", []*Job{late(job("1", "a", 1, ms)), job("2", "a", 1, ms)}, []string{"2", "1"}},
+		{"earlier due first", []*Job{dueLater(job("1", "a", 1, ms)), job("2", "a", 1, ms)}, []string{"2", "1"}},
 		{"higher class first", []*Job{job("1", "bulk", 1, ms), job("2", "a", 1, ms), job("3", "urgent", 1, ms)}, []string{"3", "2", "1"}},
 		{"weight 3 against 1", []*Job{job("a", "a", 3, 12*ms), job("h", "heavy", 8, 10*ms)}, []string{"a", "h", "h", "h", "h", "a", "h", "h", "h", "h", "a"}},
 		{"long tasks pay more", []*Job{job("a", "a", 2, 40*ms), job("b", "b", 4, 10*ms)}, []string{"a", "b", "b", "b", "b", "a"}},
@@ -80,8 +80,8 @@
 	}
 }
 
-// Urgent work arrives without end. Without a bounded share the bulk customer
-// would never be served, and its callers would see nothing but timeouts.
+// Endless urgent work must not starve a bulk contract: its callers would see
+// nothing but timeouts.
 func TestQueueNoClassStarves(t *testing.T) {
 	q := NewQueue()
 	q.SetContract("urgent", Urgent, 1)
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestQueueBlockedContractLendsItsShare(t *testing.T) {
+func TestQueueBlockedContractYieldsItsShare(t *testing.T) {
 	q := NewQueue()
 	q.Push(job("a", "a", 3, time.Millisecond))
 	q.Push(job("b", "b", 3, time.Millisecond))
@@ -113,9 +113,10 @@
 	}
 }
 
-// One customer submits far beyond its share. What the other customer would wait
-// must not grow with it, or its jobs would be refused for a neighbour's fault.
-func TestQueueWaitIsOwn(t *testing.T) {
+// The estimated wait of one contract must not grow with the backlog of another that
+// submits far beyond its share. Otherwise the jobs of the first would be refused
+// because of the second.
+func TestQueueWaitIgnoresOtherBacklogs(t *testing.T) {
 	q := NewQueue()
 	q.Push(job("quiet", "quiet", 10, 100*time.Millisecond))
 	q.Push(job("noisy", "noisy", 10, 100*time.Millisecond))
@@ -150,7 +151,7 @@
 	}
 }
 
-func TestQueueExpired(t *testing.T) {
+func TestQueueInfeasible(t *testing.T) {
 	q := NewQueue()
 	j := job("1", "a", 1, time.Second)
 	j.MinRun = time.Second
@@ -159,7 +160,7 @@
 		t.Error("expired too early")
 	}
 	if q.Expired(j.Deadline.Add(-time.Second)) != j {
-		t.Error("a job that cannot be in time is kept")
+		t.Error("a job that can't meet its deadline is kept")
 	}
 }
 
@@ -172,7 +173,7 @@
 	return s
 }
 
-func TestSchedulerPlacesTogether(t *testing.T) {
+func TestSchedulerBatchesTasks(t *testing.T) {
 	s := newScheduler(&Credits{MessageCost: time.Millisecond}, noLimits{}, 2, 8, 4)
 	s.Push(job("1", "a", 6, time.Millisecond))
 	p, ok := s.Next(epoch)
@@ -203,8 +204,8 @@
 	}
 }
 
-// A task needs the memory of several slots, but credits come one by one and
-// smaller tasks would take each. The caller of the large task would wait for good.
+// Credits are granted one by one, and smaller tasks could use each of them. A task
+// that needs the memory of several slots must not starve.
 func TestSchedulerReservesForLargeTask(t *testing.T) {
 	s := newScheduler(&Credits{}, noLimits{}, 1, 1)
 	large := job("large", "a", 1, time.Millisecond)
@@ -228,9 +229,9 @@
 	t.Error("the large task was never placed")
 }
 
-// All slots are taken by other entries' tasks, again and again. A large task that
-// waited for several spare slots at its entry would hold up its customer's work.
-func TestSchedulerSendsLargeTaskToWait(t *testing.T) {
+// Other entries keep all shared slots in use. A large task that waited at its entry
+// for several spare slots would block the other work of its contract.
+func TestSchedulerOverbooksForLargeTask(t *testing.T) {
 	s := newScheduler(&Credits{}, noLimits{}, 8)
 	a := s.Pool.Agent("agent-0")
 	s.Pool.SetSpare(a, 0, 0)
@@ -246,11 +247,11 @@
 		t.Fatalf("placed %v", p)
 	}
 	if p, ok := s.Next(epoch); ok {
-		t.Errorf("a second task waits there too: %v", p)
+		t.Errorf("a second task was sent to wait too: %v", p)
 	}
 }
 
-func TestSchedulerStanding(t *testing.T) {
+func TestSchedulerHealthState(t *testing.T) {
 	s := newScheduler(&Credits{}, noLimits{}, 8, 8)
 	s.Pool.Update(Agent{ID: "agent-0", Slots: 8, Standing: Suspended})
 	s.Pool.Update(Agent{ID: "agent-1", Slots: 8, Standing: Trial})
@@ -268,7 +269,7 @@
 	}
 }
 
-func TestSchedulerPrefersUsualSpeed(t *testing.T) {
+func TestSchedulerPrefersFastAgents(t *testing.T) {
 	s := newScheduler(&Credits{}, noLimits{}, 1, 1, 1)
 	for i, slowness := range []float64{1.5, 1, 3} {
 		s.Pool.Update(Agent{ID: fmt.Sprintf("agent-%d", i), Slots: 8, Slowness: slowness})
@@ -288,16 +289,16 @@
 	for _, picker := range []Picker{&Credits{}, &Random{Rand: source}, &TwoChoices{Rand: source}, LeastLoaded{}} {
 		t.Run(fmt.Sprintf("%T", picker), func(t *testing.T) {
 			s := NewScheduler(picker, noLimits{})
-			early := job("early", "a", 5, time.Millisecond)
-			s.Push(early)
+			unbound := job("early", "a", 5, time.Millisecond)
+			s.Push(unbound)
 			for i := range 3 {
 				s.Pool.Update(Agent{ID: fmt.Sprint(i), Slots: 8})
 			}
 			s.Retry()
-			gone := job("gone", "a", 5, time.Millisecond)
-			s.Push(gone)
+			removed := job("gone", "a", 5, time.Millisecond)
+			s.Push(removed)
 			s.Push(job("1", "a", 40, time.Millisecond))
-			if n := len(s.Remove(gone)); n != 5 {
+			if n := len(s.Remove(removed)); n != 5 {
 				t.Errorf("removed %d tasks", n)
 			}
 			s.Drop("0")
@@ -333,8 +334,8 @@
 	}
 }
 
-// benchmarkPlace keeps one credit at each agent, so that each pick looks at all,
-// and replenishes contracts in place.
+// benchmarkPlace keeps one credit at each agent, so that each pick examines all
+// agents up to scanLimit, and refills the jobs as they run out of tasks.
 func benchmarkPlace(b *testing.B, agents, contracts int) {
 	s := NewScheduler(&Credits{MessageCost: time.Millisecond}, noLimits{})
 	for i := range agents {
--- a/dispatch/place/pool.go
+++ b/dispatch/place/pool.go
@@ -6,64 +6,66 @@
 	"time"
 )
 
-// Standing says how much work an agent may get; package health decides it.
+// Standing is the health state of an agent and bounds the work that it gets.
+// Package health decides it.
 type Standing uint8
 
 const (
-	// Open agents get any work.
+	// Open agents get work without restriction.
 	Open Standing = iota
 	// Trial agents get one task at a time.
 	Trial
-	// Suspended agents get none.
+	// Suspended agents get no tasks.
 	Suspended
 )
 
-// notReady is the place of an agent that is not among the ready ones.
+// notReady is the readyPos of an agent that is not in Pool.ready.
 const notReady = -1
 
-// Agent is what an entry knows of one agent when it places a task. The exported
-// fields are set through [Pool.Update].
+// Agent is an entry's view of one agent. The exported fields are set through
+// [Pool.Update].
 type Agent struct {
 	ID     string
 	Domain string
 	Rack   string
-	// Distance is the time a message takes to the agent and back.
+	// Distance is the round-trip time of a message to the agent.
 	Distance time.Duration
-	// Slots is the number of credits the agent could grant at the most, Memory
-	// the worker's in bytes.
+	// Slots is the maximum number of credits that the agent can grant; Memory is
+	// the memory of its worker in bytes.
 	Slots  int
 	Memory uint64
-	// Slowness is how long tasks take there compared with other agents; 1 is
-	// usual.
+	// Slowness is the run time of tasks on this agent relative to other agents; 1
+	// is average.
 	Slowness float64
 	Standing Standing
 
-	// spare is set for agents whose slots all entries share: the slots expected
-	// to be free there, and the units of this entry that wait for one.
+	// shared is set if all entries share the agent's slots. Then spare is the
+	// number of slots expected to be free, and waiting the units of this entry that
+	// wait at the agent for a slot.
 	shared  bool
 	spare   int
 	waiting int
-	// overbook is the units that may be sent to wait there.
-	overbook int
+	// overbookUnits is the number of units that may be sent although no slot is spare.
+	overbookUnits int
 
 	slotMemory  uint64
 	credits     int
 	outstanding int
 	reservedFor *flow
 	readyPos    int
-	// bound holds the tasks that wait for this very agent, if the picker binds
-	// on arrival.
+	// bound holds the tasks bound to this agent, if the picker binds on arrival.
 	bound      *Queue
 	boundUnits int
 }
 
-// Credits returns the units that may be started at the agent now.
+// Credits returns the number of units that may be started at the agent now.
 func (a *Agent) Credits() int { return a.credits }
 
-// Outstanding returns the units started there and not ended.
+// Outstanding returns the number of units started at the agent that have not ended.
 func (a *Agent) Outstanding() int { return a.outstanding }
 
-// usable returns how many units may be placed now.
+// usable returns the number of units that may be placed now, given the health
+// state of the agent.
 func (a *Agent) usable() int {
 	switch a.Standing {
 	case Suspended:
@@ -77,10 +79,10 @@
 	return a.available()
 }
 
-// atOnce returns how many units to place before looking for the best agent again.
-// Of shared slots that is half: another entry may be filling them too, and the
-// frame that carries the tasks can still take the rest.
-func (a *Agent) atOnce() int {
+// batchLimit returns the number of units to place before the best agent is chosen
+// again. For shared slots it is half of the usable ones, since another entry may
+// be filling them too; a later placement can still add the rest to the same frame.
+func (a *Agent) batchLimit() int {
 	if a.shared {
 		return (a.usable() + 1) / 2
 	}
@@ -89,12 +91,13 @@
 
 func (a *Agent) available() int {
 	if a.shared {
-		return min(a.credits, max(a.spare, a.overbook))
+		return min(a.credits, max(a.spare, a.overbookUnits))
 	}
 	return a.credits
 }
 
-// Units returns how many credits a task of so much memory takes there.
+// Units returns how many credits a task that needs so many bytes of memory takes
+// at this agent.
 func (a *Agent) Units(memory uint64) int { return a.units(memory) }
 
 func (a *Agent) units(memory uint64) int {
@@ -104,7 +107,7 @@
 	return Units(memory, a.Memory, a.Slots)
 }
 
-// sumUnits returns how many credits tasks take there.
+// sumUnits returns how many credits the tasks take at this agent.
 func (a *Agent) sumUnits(tasks []Task) int {
 	sum := 0
 	for i := range tasks {
@@ -113,16 +116,17 @@
 	return sum
 }
 
-// used is the part of the slots in use, as far as it is known.
-func (a *Agent) used() float64 {
+// utilization returns the fraction of the agent's slots in use, as far as this entry
+// knows.
+func (a *Agent) utilization() float64 {
 	if a.shared {
 		return 1 - float64(a.spare)/float64(max(a.Slots, 1))
 	}
 	return float64(a.outstanding) / float64(max(a.Slots, 1))
 }
 
-// load is the used part of the agent, between 0 and above 1 when work is bound
-// to it that it has no slot for.
+// load returns this entry's outstanding and bound units relative to the agent's
+// slots. It exceeds 1 when more work is bound to the agent than it has slots.
 func (a *Agent) load() float64 {
 	return float64(a.outstanding+a.boundUnits) / float64(max(a.Slots, 1))
 }
@@ -131,9 +135,9 @@
 type Pool struct {
 	agents map[string]*Agent
 	all    []*Agent
-	// ready are the agents that can take a task now.
+	// ready holds the agents on which a task can be placed now, in no order.
 	ready []*Agent
-	// cursor rotates the point at which a scan of ready starts.
+	// cursor is the position in ready at which the last scan started.
 	cursor      int
 	credits     int
 	outstanding int
@@ -146,17 +150,18 @@
 	return &Pool{agents: make(map[string]*Agent)}
 }
 
-// Agent returns an agent, or nil.
+// Agent returns the agent with the given ID, or nil.
 func (p *Pool) Agent(id string) *Agent { return p.agents[id] }
 
-// Credits returns the credits held at all agents.
+// Credits returns the sum of the credits held at all agents.
 func (p *Pool) Credits() int { return p.credits }
 
-// Outstanding returns the units started at all agents and not ended.
+// Outstanding returns the number of units started at all agents that have not
+// ended.
 func (p *Pool) Outstanding() int { return p.outstanding }
 
-// Largest returns the slots and memory of the agent with most memory, zero if
-// there is none.
+// Largest returns the slots and memory of the agent with the most memory, zero if
+// the pool is empty.
 func (p *Pool) Largest() (slots int, memory uint64) {
 	if p.largest == nil {
 		return 0, 0
@@ -164,7 +169,7 @@
 	return p.largest.Slots, p.largest.Memory
 }
 
-func (p *Pool) findLargest() {
+func (p *Pool) updateLargest() {
 	p.largest = nil
 	for _, a := range p.all {
 		if p.largest == nil || a.Memory > p.largest.Memory {
@@ -173,19 +178,20 @@
 	}
 }
 
-// Reach returns the slots that this entry uses or could use now.
+// Reach returns the number of slots that this entry uses or could use now.
 func (p *Pool) Reach() int {
-	reach := p.outstanding
+	slots := p.outstanding
 	for _, a := range p.all {
-		reach += max(a.available(), 0)
+		slots += max(a.available(), 0)
 	}
-	return reach
+	return slots
 }
 
-// Slots returns the slots of all agents, also those that serve other entries.
+// Slots returns the number of slots of all agents, including those that serve
+// other entries.
 func (p *Pool) Slots() int { return p.slots }
 
-// Update adds an agent or changes what is known of it; credits stay as they are.
+// Update adds an agent or replaces its exported fields; its credits do not change.
 func (p *Pool) Update(info Agent) *Agent {
 	a := p.agents[info.ID]
 	if a == nil {
@@ -202,17 +208,17 @@
 		a.slotMemory = a.Memory / uint64(max(a.Slots, 1))
 	}
 	if resized {
-		p.findLargest()
+		p.updateLargest()
 	}
 	a.Slowness = max(info.Slowness, 0.1)
 	if info.Slowness == 0 {
 		a.Slowness = 1
 	}
-	p.refresh(a)
+	p.updateReady(a)
 	return a
 }
 
-// Drop forgets an agent with its credits.
+// Drop removes an agent and its credits.
 func (p *Pool) Drop(id string) {
 	a := p.agents[id]
 	if a == nil {
@@ -223,69 +229,70 @@
 	p.outstanding -= a.outstanding
 	delete(p.agents, id)
 	p.all = slices.DeleteFunc(p.all, func(o *Agent) bool { return o == a })
-	p.findLargest()
+	p.updateLargest()
 }
 
 // SetCredits replaces an agent's credits.
 func (p *Pool) SetCredits(a *Agent, credits int) {
 	p.credits += credits - a.credits
 	a.credits = credits
-	p.refresh(a)
+	p.updateReady(a)
 }
 
-// Grant adds credits that an agent gave.
+// Grant adds credits that an agent has granted.
 func (p *Pool) Grant(a *Agent, credits int) { p.SetCredits(a, a.credits+credits) }
 
-// SetSpare notes how many slots of an agent are free that all entries share, and
-// how many units of this entry wait there.
+// SetSpare marks an agent's slots as shared by all entries, and sets the number of
+// free slots and the number of this entry's units that wait there for one.
 func (p *Pool) SetSpare(a *Agent, spare, waiting int) {
-	a.shared, a.spare, a.waiting, a.overbook = true, spare, waiting, 0
-	p.refresh(a)
+	a.shared, a.spare, a.waiting, a.overbookUnits = true, spare, waiting, 0
+	p.updateReady(a)
 }
 
-// Overbook allows one start at each agent without spare slots where none of this
-// entry's tasks waits yet. Call it while tasks wait in vain: slots that get free at
-// an agent go first to those that wait there.
+// Overbook allows one start at each agent that has no spare slot and no waiting
+// task of this entry. It is meant for times when tasks cannot be placed: an agent
+// gives a slot that becomes free first to the tasks that wait there.
 func (p *Pool) Overbook() {
 	for _, a := range p.all {
 		if a.shared && a.Standing == Open && a.spare < 1 && a.waiting == 0 {
-			a.overbook = 1
-			p.refresh(a)
+			a.overbookUnits = 1
+			p.updateReady(a)
 		}
 	}
 }
 
-// Reclaim takes up to n unused credits away, to be given back to the agent, and
-// returns how many.
+// Reclaim removes up to n unused credits and returns how many it removed. The
+// caller returns these to the agent.
 func (p *Pool) Reclaim(a *Agent, n int) int {
 	n = max(min(n, a.credits), 0)
 	p.SetCredits(a, a.credits-n)
 	return n
 }
 
-// Started counts units as started at an agent, against its credits.
+// Started records units as started at an agent and deducts them from its credits.
 func (p *Pool) Started(a *Agent, units int) {
 	a.outstanding += units
 	a.spare -= units
 	if a.spare < 0 {
 		a.waiting += min(units, -a.spare)
-		a.overbook = 0
+		a.overbookUnits = 0
 	}
 	p.outstanding += units
 	p.SetCredits(a, a.credits-units)
 }
 
-// Ended counts units as ended. The slot does not come back as a credit by
-// itself: the agent grants it anew.
+// Ended records units as ended. It does not restore credits: the agent grants the
+// slots again.
 func (p *Pool) Ended(a *Agent, units int) {
 	units = min(units, a.outstanding)
 	a.outstanding -= units
 	p.outstanding -= units
-	p.refresh(a)
+	p.updateReady(a)
 }
 
-// refresh keeps ready in step with what the agent can take.
-func (p *Pool) refresh(a *Agent) {
+// updateReady adds a to ready or removes it, depending on whether a task can be placed
+// on it now.
+func (p *Pool) updateReady(a *Agent) {
 	usable := a.usable() > 0
 	switch {
 	case usable && a.readyPos == notReady:
--- a/dispatch/place/queue.go
+++ b/dispatch/place/queue.go
@@ -7,10 +7,11 @@
 	"github.com/papayahoist/papayahoist/dispatch/internal/indexheap"
 )
 
-// Class orders contracts; the lower value goes first.
+// Class is the priority class of a contract. Lower values have priority over higher
+// ones.
 type Class uint8
 
-// The classes, in the order in which they are served.
+// Priority classes, highest first.
 const (
 	Urgent Class = iota
 	Normal
@@ -18,54 +19,56 @@
 	classes
 )
 
-// lowerClassShare is the part of all placed slot time that a class may claim
-// while higher classes have work too. Without it a customer whose urgent work
-// never ends would keep the lower classes waiting for good.
+// lowerClassShare is the fraction of all placed slot time that is guaranteed to a
+// class while higher classes have work too. Without it, a customer with endless
+// urgent work would starve the lower classes.
 var lowerClassShare = [classes]float64{Urgent: 0, Normal: 0.10, Bulk: 0.05}
 
-// maxOwed bounds what a class may save up, so that it returns from a time without
-// work it could place with a short burst and not a long one.
-const maxOwed = float64(2 * time.Second)
+// maxDeficit bounds the slot time, in nanoseconds, that a class can accumulate. After
+// a time in which the class had no work that could be placed, it therefore gets a
+// short burst and not a long one.
+const maxDeficit = float64(2 * time.Second)
 
-// minCost is charged for tasks of unknown or tiny run time, so that a contract
-// of very short tasks still pays for its slots.
+// minCost is the minimum charge for a task. It applies to tasks of unknown or tiny
+// run time, so that a contract of very short tasks is charged for its slots.
 const minCost = time.Millisecond
 
 // Task is one waiting task of a job.
 type Task struct {
-	// Number is the task's position in its job.
+	// Number is the task's index in its job.
 	Number uint32
 	// Run is the expected run time.
 	Run time.Duration
-	// Memory is what to reserve for it, in bytes.
+	// Memory is the memory to reserve, in bytes.
 	Memory uint64
 
-	// weight is the slots that it takes on an agent of the largest size.
+	// weight is the number of slots that the task takes on the largest agent.
 	weight int
 }
 
-// Job is the waiting part of a job. The fields are set before Push; from then
-// on the queue owns it.
+// Job holds the waiting tasks of a job. The fields are set before Push; from then
+// on the queue owns the Job.
 type Job struct {
 	ID       string
 	Contract string
 	Kind     string
-	// Due orders the jobs of a contract; see [Due].
+	// Due orders the jobs of a contract, earliest first; see [Due].
 	Due time.Time
-	// Deadline is when the answer is worthless; zero means never.
+	// Deadline is the time after which the answer is of no use; zero means none.
 	Deadline time.Time
-	// MinRun is the run time that each task needs at the least, zero if unknown.
+	// MinRun is the minimum run time of each task, zero if unknown.
 	MinRun time.Duration
-	// Tasks wait in this order. Longest first ends the job soonest; see
-	// [LongestFirst].
+	// Tasks are placed in this order. The job ends soonest if the longest tasks
+	// come first; see [LongestFirst].
 	Tasks []Task
 
-	// parts are set on a job whose tasks are bound to agents on arrival: one for
-	// each agent. The job itself is in no queue then.
-	parts []*Job
-	whole *Job
-	agent *Agent
-	queue *Queue
+	// subjobs is set on a job whose tasks are bound to agents on arrival: one Job
+	// per agent, whose parent is this job and which is in that agent's queue. The
+	// job itself is in no queue.
+	subjobs []*Job
+	parent  *Job
+	agent   *Agent
+	queue   *Queue
 
 	flow    *flow
 	seq     uint64
@@ -74,39 +77,39 @@
 	started bool
 }
 
-// LongestFirst orders tasks so that the one that bounds the job's response time
-// is started first.
+// LongestFirst sorts tasks by decreasing expected run time, since the longest one
+// bounds the response time of the job.
 func LongestFirst(tasks []Task) {
 	slices.SortStableFunc(tasks, func(a, b Task) int { return int(b.Run - a.Run) })
 }
 
-// A job's answer is due after stretch times its ideal response time and
-// yield times the time in which all slots could do its work.
+// A job is due after stretchFactor times its ideal response time plus workFactor
+// times the time in which all slots together could do its work.
 const (
-	stretch = 1.5
-	yield   = 16
+	stretchFactor = 1.5
+	workFactor    = 16
 )
 
-// Due returns when a job that arrives now should have its answer, and never after
-// its deadline. A job of little work is due soon, since it delays the others by
-// little, and one of much work later. Ordering by due keeps short jobs from waiting
-// behind long ones, and since it is a point in time, every job comes to be the
-// first in the end.
+// Due returns the time by which a job that arrives now should be answered, and at
+// the latest its deadline. Jobs with little work are due early, since they delay
+// other jobs only a little. Ordering by due time keeps short jobs from waiting
+// behind long ones, and prevents starvation: since the due time of a job is fixed,
+// each job comes first eventually.
 func Due(now, deadline time.Time, tasks []Task, slots int) time.Time {
 	var longest, sum time.Duration
 	for i := range tasks {
 		longest = max(longest, tasks[i].Run)
 		sum += tasks[i].Run
 	}
-	spread := sum / time.Duration(max(slots, 1))
-	due := now.Add(time.Duration(stretch*float64(max(longest, spread)) + yield*float64(spread)))
+	parallelRun := sum / time.Duration(max(slots, 1))
+	due := now.Add(time.Duration(stretchFactor*float64(max(longest, parallelRun)) + workFactor*float64(parallelRun)))
 	if !deadline.IsZero() && deadline.Before(due) {
 		return deadline
 	}
 	return due
 }
 
-// Before implements indexheap.Item: by when the answer is due.
+// Before implements indexheap.Item. It orders jobs by due time, then by arrival.
 func (j *Job) Before(o *Job) bool {
 	if !j.Due.Equal(o.Due) {
 		return j.Due.Before(o.Due)
@@ -129,8 +132,8 @@
 	return max(t.Run, minCost) * time.Duration(max(t.weight, 1))
 }
 
-// shedJob orders the same jobs the other way round: the one with most time left
-// is shed first, since its caller has most time to try again.
+// shedJob orders jobs by decreasing due time: the job with the most time left is
+// shed first, since its caller has the most time to retry.
 type shedJob struct{ *Job }
 
 // Before implements indexheap.Item.
@@ -139,32 +142,34 @@
 // SetPos implements indexheap.Item.
 func (s shedJob) SetPos(pos int) { s.shedPos = pos }
 
-// blockReason is a set of reasons why a contract is out of the order.
+// blockReason is a set of reasons for which a contract is not scheduled.
 type blockReason uint8
 
 const (
 	// atLimit: the contract is at one of its limits.
 	atLimit blockReason = 1 << iota
-	// reserving: its next task waits for enough credits of one agent.
+	// reserving: the next task of the contract waits for enough credits at one
+	// agent.
 	reserving
 )
 
-// flow is the waiting work of one contract.
+// flow is the waiting work of one contract. The flows of a class are scheduled by
+// start-time fair queueing.
 type flow struct {
-	name    string
-	class   Class
-	weight  float64
-	virtual float64
-	pos     int
-	blocked blockReason
-	jobs    indexheap.Heap[*Job]
-	shed    indexheap.Heap[shedJob]
-	waiting int
-	cost    time.Duration
+	name        string
+	class       Class
+	weight      float64
+	virtualTime float64
+	pos         int
+	blocked     blockReason
+	jobs        indexheap.Heap[*Job]
+	shed        indexheap.Heap[shedJob]
+	waiting     int
+	cost        time.Duration
 }
 
 // Before implements indexheap.Item.
-func (f *flow) Before(o *flow) bool { return f.virtual < o.virtual }
+func (f *flow) Before(o *flow) bool { return f.virtualTime < o.virtualTime }
 
 // SetPos implements indexheap.Item.
 func (f *flow) SetPos(pos int) { f.pos = pos }
@@ -174,12 +179,13 @@
 // level holds the contracts of one class.
 type level struct {
 	ready indexheap.Heap[*flow]
-	// virtual is the start tag of the contract served last. A contract that was
-	// idle starts from here: it neither saves up a share nor owes for the past.
-	virtual float64
-	// owed is slot time, in nanoseconds, that the class may claim ahead of
-	// higher ones.
-	owed    float64
+	// virtualTime is the start tag of the contract served last. A contract that was
+	// idle resumes from it, so that it neither accumulates a share while idle nor
+	// pays for earlier use.
+	virtualTime float64
+	// deficit is the slot time, in nanoseconds, that the class may use ahead of
+	// higher classes.
+	deficit float64
 	weight  float64
 	waiting int
 	cost    time.Duration
@@ -198,8 +204,8 @@
 	return &Queue{flows: make(map[string]*flow)}
 }
 
-// SetContract adds a contract or changes its class and weight. Jobs that wait
-// already move with it.
+// SetContract adds a contract or changes its class and weight. Its waiting jobs
+// move to the new class with it.
 func (q *Queue) SetContract(name string, class Class, weight uint32) {
 	class = min(class, Bulk)
 	f := q.flows[name]
@@ -209,13 +215,13 @@
 		f.class, f.weight = class, float64(max(weight, 1))
 		return
 	}
-	q.leave(f)
+	q.detach(f)
 	f.class, f.weight = class, float64(max(weight, 1))
-	f.virtual = q.levels[class].virtual
-	q.enter(f)
+	f.virtualTime = q.levels[class].virtualTime
+	q.attach(f)
 }
 
-// Forget drops a contract that has no waiting work; otherwise it does nothing
+// Forget removes a contract. If the contract has waiting work, Forget does nothing
 // and returns false.
 func (q *Queue) Forget(name string) bool {
 	f := q.flows[name]
@@ -229,28 +235,29 @@
 	return true
 }
 
-// Push adds a job. Its contract must have been set.
+// Push adds a job. Its contract should have been set; otherwise it is added with
+// class Normal and weight 1.
 func (q *Queue) Push(j *Job) {
 	f := q.flows[j.Contract]
 	if f == nil {
 		q.SetContract(j.Contract, Normal, 1)
 		f = q.flows[j.Contract]
 	}
-	q.leave(f)
+	q.detach(f)
 	q.seq++
 	j.flow, j.seq, j.started = f, q.seq, false
 	f.jobs.Push(j)
 	f.shed.Push(shedJob{j})
 	f.waiting += len(j.Tasks)
 	f.cost += j.cost()
-	q.enter(f)
+	q.attach(f)
 }
 
-// PutBack returns tasks that an agent proved never to have started. The job
-// keeps its place in the order and can no longer be shed.
+// PutBack returns tasks to the queue that an agent has proved never to have
+// started. The job keeps its position in the order and can no longer be shed.
 func (q *Queue) PutBack(j *Job, tasks ...Task) {
 	f := j.flow
-	q.leave(f)
+	q.detach(f)
 	j.Tasks = append(j.Tasks, tasks...)
 	if j.pos == indexheap.Absent {
 		f.jobs.Push(j)
@@ -259,16 +266,16 @@
 	for i := range tasks {
 		f.cost += tasks[i].cost()
 	}
-	q.enter(f)
+	q.attach(f)
 }
 
-// Remove drops a job's waiting tasks and returns them.
+// Remove removes a job and returns its waiting tasks.
 func (q *Queue) Remove(j *Job) []Task {
 	if j.flow == nil || j.pos == indexheap.Absent {
 		return nil
 	}
 	f := j.flow
-	q.leave(f)
+	q.detach(f)
 	f.jobs.Remove(j.pos)
 	if !j.started {
 		f.shed.Remove(j.shedPos)
@@ -276,29 +283,29 @@
 	}
 	f.waiting -= len(j.Tasks)
 	f.cost -= j.cost()
-	q.enter(f)
+	q.attach(f)
 	tasks := j.Tasks
 	j.Tasks = nil
 	return tasks
 }
 
-// Block takes a contract out of the order until Unblock: it is at one of its
-// limits. The others go on, so that capacity it cannot use is not lost.
+// Block stops scheduling a contract that is at one of its limits until Unblock is
+// called. The other contracts use the capacity that it cannot use.
 func (q *Queue) Block(contract string) { q.setBlocked(q.flows[contract], atLimit, true) }
 
-// Unblock puts a contract back.
+// Unblock resumes scheduling of a contract after Block.
 func (q *Queue) Unblock(contract string) { q.setBlocked(q.flows[contract], atLimit, false) }
 
-func (q *Queue) setBlocked(f *flow, why blockReason, blocked bool) {
-	if f == nil || (f.blocked&why != 0) == blocked {
+func (q *Queue) setBlocked(f *flow, reason blockReason, blocked bool) {
+	if f == nil || (f.blocked&reason != 0) == blocked {
 		return
 	}
-	q.leave(f)
-	f.blocked ^= why
-	q.enter(f)
+	q.detach(f)
+	f.blocked ^= reason
+	q.attach(f)
 }
 
-// Next returns the job whose task goes next, or nil.
+// Next returns the job whose first task is to be placed next, or nil.
 func (q *Queue) Next() *Job {
 	l := q.nextLevel()
 	if l == nil {
@@ -309,7 +316,7 @@
 
 func (q *Queue) nextLevel() *level {
 	for c := classes - 1; c > Urgent; c-- {
-		if l := &q.levels[c]; l.ready.Len() > 0 && l.owed >= min(l.headCost(), maxOwed) {
+		if l := &q.levels[c]; l.ready.Len() > 0 && l.deficit >= min(l.headCost(), maxDeficit) {
 			return l
 		}
 	}
@@ -325,8 +332,8 @@
 	return float64(l.ready.First().jobs.First().Tasks[0].cost())
 }
 
-// Take removes up to n tasks from the front of a job and charges its contract
-// for them. The returned slice is valid until the job gets tasks back.
+// Take removes up to n tasks from the front of a job and charges its contract for
+// them. The returned slice is valid until tasks are put back into the job.
 func (q *Queue) Take(j *Job, n int) []Task {
 	n = min(n, len(j.Tasks))
 	if n == 0 {
@@ -357,7 +364,8 @@
 	return taken
 }
 
-// reorder restores a contract's place after its virtual time or its jobs changed.
+// reorder restores a contract's position in its class after its virtual time or its
+// jobs have changed.
 func (q *Queue) reorder(f *flow) {
 	l := &q.levels[f.class]
 	if f.pos == indexheap.Absent {
@@ -371,27 +379,32 @@
 	l.weight -= f.weight
 }
 
+// charge advances the virtual time of a contract by the cost of placed tasks. Each
+// lower class with ready work accrues its guaranteed share of the cost. If a higher
+// class had ready work, the class of the contract pays the cost from what it has
+// accrued.
 func (q *Queue) charge(f *flow, cost time.Duration) {
 	l := &q.levels[f.class]
-	l.virtual = max(l.virtual, f.virtual)
-	f.virtual += float64(cost) / f.weight
-	ahead := false
+	l.virtualTime = max(l.virtualTime, f.virtualTime)
+	f.virtualTime += float64(cost) / f.weight
+	higherReady := false
 	for c := range q.levels {
 		o := &q.levels[c]
 		switch {
 		case Class(c) == f.class:
-			if ahead {
-				o.owed = max(o.owed-float64(cost), 0)
+			if higherReady {
+				o.deficit = max(o.deficit-float64(cost), 0)
 			}
 		case Class(c) > f.class && o.ready.Len() > 0:
-			o.owed = min(o.owed+float64(cost)*lowerClassShare[c], maxOwed)
+			o.deficit = min(o.deficit+float64(cost)*lowerClassShare[c], maxDeficit)
 		}
-		ahead = ahead || o.ready.Len() > 0
+		higherReady = higherReady || o.ready.Len() > 0
 	}
 }
 
-// leave takes a contract and its sums out of its class before a change of it.
-func (q *Queue) leave(f *flow) {
+// detach removes a contract and its sums from its class before the contract is
+// changed.
+func (q *Queue) detach(f *flow) {
 	l := &q.levels[f.class]
 	l.waiting -= f.waiting
 	l.cost -= f.cost
@@ -402,19 +415,19 @@
 	}
 }
 
-// enter puts it back after the change.
-func (q *Queue) enter(f *flow) {
+// attach adds a contract and its sums to its class after the change.
+func (q *Queue) attach(f *flow) {
 	l := &q.levels[f.class]
 	l.waiting += f.waiting
 	l.cost += f.cost
 	q.waiting += f.waiting
 	if !f.ready() {
 		if l.waiting == 0 {
-			l.owed = 0
+			l.deficit = 0
 		}
 		return
 	}
-	f.virtual = max(f.virtual, l.virtual)
+	f.virtualTime = max(f.virtualTime, l.virtualTime)
 	l.ready.Push(f)
 	l.weight += f.weight
 }
@@ -433,9 +446,10 @@
 	return 0
 }
 
-// Wait estimates how long a new job of a contract, with so much work, would wait
-// for its last task to start when that many slots serve this queue. The backlog of another
-// contract counts only as far as that contract's weight reaches.
+// Wait estimates how long the last task of a new job of a contract would wait to be
+// started, given the job's work in slot time and the number of slots that serve
+// this queue. The backlog of other contracts of the class counts only up to their
+// weighted share.
 func (q *Queue) Wait(contract string, work time.Duration, slots int) time.Duration {
 	f := q.flows[contract]
 	if f == nil || slots <= 0 {
@@ -455,25 +469,26 @@
 	return (higher + time.Duration(shared) + work) / time.Duration(slots)
 }
 
-// Victim returns the job to shed in favour of work of the given class: one of
-// the lowest class below it, none of whose tasks was ever placed, from the
-// contract with most waiting work for its weight. It is nil if there is none.
+// Victim returns the job to shed in favor of work of the given class, or nil if
+// there is none. It is a job of the lowest class below the given one, of the
+// contract with the most waiting work relative to its weight, and none of its tasks
+// was ever placed.
 func (q *Queue) Victim(class Class) *Job {
 	for c := Bulk; c > class; c-- {
-		var worst *flow
+		var largest *flow
 		for _, f := range q.flows {
-			if f.class == c && f.shed.Len() > 0 && (worst == nil || f.heavierThan(worst)) {
-				worst = f
+			if f.class == c && f.shed.Len() > 0 && (largest == nil || f.hasMoreBacklog(largest)) {
+				largest = f
 			}
 		}
-		if worst != nil {
-			return worst.shed.First().Job
+		if largest != nil {
+			return largest.shed.First().Job
 		}
 	}
 	return nil
 }
 
-func (f *flow) heavierThan(o *flow) bool {
+func (f *flow) hasMoreBacklog(o *flow) bool {
 	a, b := float64(f.cost)/f.weight, float64(o.cost)/o.weight
 	if a != b {
 		return a > b
@@ -481,9 +496,9 @@
 	return f.name < o.name
 }
 
-// Expired returns a job whose deadline no longer leaves room for MinRun, or nil.
-// It looks at the front of each contract, which is where a job would be started.
-// The caller removes the job and asks again.
+// Expired returns a job that can no longer meet its deadline, since less than
+// MinRun is left, or nil. It examines only the first job of each contract, which
+// would be started next. The caller removes the job and calls Expired again.
 func (q *Queue) Expired(now time.Time) *Job {
 	var first *Job
 	for _, f := range q.flows {
@@ -491,13 +506,13 @@
 			continue
 		}
 		j := f.jobs.First()
-		if j.hopeless(now) && (first == nil || j.Before(first)) {
+		if j.infeasible(now) && (first == nil || j.Before(first)) {
 			first = j
 		}
 	}
 	return first
 }
 
-func (j *Job) hopeless(now time.Time) bool {
+func (j *Job) infeasible(now time.Time) bool {
 	return !j.Deadline.IsZero() && !now.Add(j.MinRun).Before(j.Deadline)
 }
--- a/dispatch/place/scheduler.go
+++ b/dispatch/place/scheduler.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Limiter says how many tasks of a contract may start now.
+// Limiter enforces the limits of contracts.
 type Limiter interface {
-	// Allow returns how many tasks from the front may start, and counts these
-	// as started.
+	// Allow returns how many tasks from the front of the slice may start now, and
+	// counts these as started.
 	Allow(now time.Time, contract string, tasks []Task) int
 }
 
-// Placement is tasks of one job that go to one agent in one message. Job and
-// Tasks are valid until the scheduler is called again.
+// Placement is a batch of tasks of one job to be sent to one agent in one message.
+// Units is the number of credits that they take. Job and Tasks are valid until the
+// next call of the scheduler.
 type Placement struct {
 	Agent *Agent
 	Job   *Job
@@ -22,55 +23,55 @@
 type Scheduler struct {
 	Pool *Pool
 
-	queue    *Queue
-	picker   Picker
-	limiter  Limiter
-	weights  map[string]share
-	reserved []reservation
-	// unplaced are contracts whose next task needs a reservation, while no
-	// agent can be reserved for it.
+	queue     *Queue
+	picker    Picker
+	limiter   Limiter
+	contracts map[string]contractParams
+	reserved  []reservation
+	// unplaced holds the contracts whose next task needs a reservation but for
+	// which no agent could be reserved.
 	unplaced []*flow
 }
 
-type share struct {
+type contractParams struct {
 	class  Class
 	weight uint32
 }
 
-// reservation keeps an agent's credits for a task that takes several of them.
-// Without it smaller tasks would take each credit as it comes, and the large
-// task would never start.
+// reservation holds an agent's credits for a task that takes several of them.
+// Without it, smaller tasks would use each credit as soon as it is granted and the
+// large task would starve.
 type reservation struct {
 	flow  *flow
 	agent *Agent
 }
 
-// reservedShare is the largest part of the agents, as a divisor, that large
-// tasks may reserve at once.
-const reservedShare = 4
+// maxReservedDivisor bounds the agents that are reserved for large tasks at once:
+// 4 means a quarter of them.
+const maxReservedDivisor = 4
 
-// NewScheduler returns a scheduler without agents and tasks.
+// NewScheduler returns a scheduler without agents or tasks.
 func NewScheduler(picker Picker, limiter Limiter) *Scheduler {
 	return &Scheduler{
-		Pool:    NewPool(),
-		queue:   NewQueue(),
-		picker:  picker,
-		limiter: limiter,
-		weights: make(map[string]share),
+		Pool:      NewPool(),
+		queue:     NewQueue(),
+		picker:    picker,
+		limiter:   limiter,
+		contracts: make(map[string]contractParams),
 	}
 }
 
-// Queue returns the tasks that are bound to no agent.
+// Queue returns the queue of the tasks that are not bound to an agent.
 func (s *Scheduler) Queue() *Queue { return s.queue }
 
 // SetContract adds a contract or changes its class and weight.
 func (s *Scheduler) SetContract(name string, class Class, weight uint32) {
-	s.weights[name] = share{class: class, weight: weight}
+	s.contracts[name] = contractParams{class: class, weight: weight}
 	s.eachQueue(func(q *Queue) { q.SetContract(name, class, weight) })
 }
 
-// Unblock makes a contract's tasks eligible again after its limiter held them
-// back. Call it when a limit may have room.
+// Unblock resumes scheduling of a contract that the limiter had stopped. Call it
+// when a limit may allow more tasks.
 func (s *Scheduler) Unblock(contract string) {
 	s.eachQueue(func(q *Queue) { q.Unblock(contract) })
 }
@@ -111,7 +112,8 @@
 	s.queue.Push(j)
 }
 
-// PutBack returns tasks that an agent proved never to have started.
+// PutBack returns tasks to the queue that an agent has proved never to have
+// started.
 func (s *Scheduler) PutBack(j *Job, tasks ...Task) {
 	if j.queue == nil {
 		j.Tasks = append(j.Tasks, tasks...)
@@ -121,22 +123,23 @@
 	j.queue.PutBack(j, tasks...)
 }
 
-// Remove drops a job's waiting tasks and returns them.
+// Remove removes a job and returns its waiting tasks.
 func (s *Scheduler) Remove(j *Job) []Task {
 	if j.queue != nil {
 		return j.queue.Remove(j)
 	}
 	var tasks []Task
-	for _, part := range j.parts {
-		left := part.queue.Remove(part)
-		part.agent.boundUnits -= part.agent.sumUnits(left)
-		tasks = append(tasks, left...)
+	for _, sub := range j.subjobs {
+		removed := sub.queue.Remove(sub)
+		sub.agent.boundUnits -= sub.agent.sumUnits(removed)
+		tasks = append(tasks, removed...)
 	}
-	j.parts = nil
+	j.subjobs = nil
 	return tasks
 }
 
-// Drop forgets an agent. Tasks bound to it, that were never sent, are bound anew.
+// Drop removes an agent. Tasks that are bound to it but were never sent are bound
+// to other agents.
 func (s *Scheduler) Drop(id string) {
 	a := s.Pool.Agent(id)
 	if a == nil {
@@ -153,8 +156,8 @@
 	}
 }
 
-// Retry looks again for agents to reserve. Call it when agents change, and about
-// once a second.
+// Retry tries again to reserve agents for large tasks and to bind tasks that no
+// agent could be found for. Call it when agents change, and about once a second.
 func (s *Scheduler) Retry() {
 	for _, f := range s.unplaced {
 		s.queue.setBlocked(f, reserving, false)
@@ -165,8 +168,8 @@
 	}
 }
 
-// Next places tasks of the job that goes next. It returns false when nothing can
-// be placed before credits, limits or tasks change.
+// Next places tasks of the next job. It returns false when nothing can be placed
+// until credits, limits or tasks change.
 func (s *Scheduler) Next(now time.Time) (Placement, bool) {
 	if p, ok := s.nextReserved(now); ok {
 		return p, true
@@ -179,7 +182,7 @@
 		if j == nil {
 			return Placement{}, false
 		}
-		need := needOf(j)
+		need := nextNeed(j)
 		a := s.picker.Pick(s.Pool, need)
 		if a == nil {
 			if s.large(need) {
@@ -188,7 +191,7 @@
 			}
 			return Placement{}, false
 		}
-		if p, ok := s.take(now, s.queue, j, a); ok {
+		if p, ok := s.tryPlace(now, s.queue, j, a); ok {
 			return p, true
 		}
 	}
@@ -200,19 +203,20 @@
 	return Units(need.Memory, memory, slots) > 1
 }
 
-func needOf(j *Job) Need {
+func nextNeed(j *Job) Need {
 	t := &j.Tasks[0]
 	return Need{Memory: t.Memory, Run: t.Run, Tasks: len(j.Tasks)}
 }
 
-// take places as many tasks of a job as fit an agent's credits and the
-// contract's limits. With no room under the limits it blocks the contract.
-func (s *Scheduler) take(now time.Time, q *Queue, j *Job, a *Agent) (Placement, bool) {
-	// The first task fits, or the agent would not have been chosen.
-	fit, left := 1, a.atOnce()-a.units(j.Tasks[0].Memory)
+// tryPlace places as many tasks of a job as the agent's credits and the limits of the
+// contract allow. If the limits allow none, it blocks the contract and returns
+// false.
+func (s *Scheduler) tryPlace(now time.Time, q *Queue, j *Job, a *Agent) (Placement, bool) {
+	// The first task fits, otherwise the agent would not have been chosen.
+	fit, free := 1, a.batchLimit()-a.units(j.Tasks[0].Memory)
 	for i := 1; i < len(j.Tasks); i++ {
-		left -= a.units(j.Tasks[i].Memory)
-		if left < 0 {
+		free -= a.units(j.Tasks[i].Memory)
+		if free < 0 {
 			break
 		}
 		fit++
@@ -225,16 +229,17 @@
 	tasks := q.Take(j, n)
 	used := a.sumUnits(tasks)
 	s.Pool.Started(a, used)
-	if j.whole != nil {
+	if j.parent != nil {
 		a.boundUnits -= used
-		j = j.whole
+		j = j.parent
 	}
 	return Placement{Agent: a, Job: j, Tasks: tasks, Units: used}, true
 }
 
-// nextReserved places a large task whose agent has gathered enough credits. Of
-// slots that all entries share it may never gather them while the others have
-// work: then the task waits there, where slots are kept for it.
+// nextReserved places a large task whose reserved agent has accumulated enough
+// credits. An agent with shared slots may never have enough of them free while the
+// other entries have work; such an agent is overbooked, and the task is sent to
+// wait there, where the agent holds slots for it.
 func (s *Scheduler) nextReserved(now time.Time) (Placement, bool) {
 	for i := len(s.reserved) - 1; i >= 0; i-- {
 		r := s.reserved[i]
@@ -243,22 +248,22 @@
 			continue
 		}
 		j := r.flow.jobs.First()
-		if r.agent.usable() < r.agent.units(j.Tasks[0].Memory) && r.agent.overbook == 0 {
+		if r.agent.usable() < r.agent.units(j.Tasks[0].Memory) && r.agent.overbookUnits == 0 {
 			continue
 		}
 		s.release(i)
-		if p, ok := s.take(now, s.queue, j, r.agent); ok {
+		if p, ok := s.tryPlace(now, s.queue, j, r.agent); ok {
 			return p, true
 		}
 	}
 	return Placement{}, false
 }
 
-// reserve takes a contract out of the order and keeps an agent for its next task.
+// reserve stops scheduling a contract and reserves an agent for its next task.
 func (s *Scheduler) reserve(f *flow, need Need) {
 	s.queue.setBlocked(f, reserving, true)
 	var best *Agent
-	if len(s.reserved)*reservedShare < len(s.Pool.all) {
+	if len(s.reserved)*maxReservedDivisor < len(s.Pool.all) {
 		for _, a := range s.Pool.all {
 			if a.reservedFor != nil || a.Standing != Open || a.units(need.Memory) > a.Slots {
 				continue
@@ -285,8 +290,8 @@
 	s.reserved = s.reserved[:last]
 }
 
-// Want returns how many units more than its credits this entry could start at an
-// agent.
+// Want returns how many units this entry could start at an agent beyond the credits
+// that it holds there.
 func (s *Scheduler) Want(a *Agent) int {
 	want := a.boundUnits
 	switch f := a.reservedFor; {
--- a/dispatch/place/units.go
+++ b/dispatch/place/units.go
@@ -1,10 +1,11 @@
 package place
 
-// Units returns how many credits the start of a task takes at an agent: one, or
-// as many as its memory needs when each slot stands for an equal part of the
-// worker's memory. A worker starts what it is given, whether it fits or not;
-// since credits never exceed slots, counting in units keeps the memory reserved
-// within the worker's. A result above slots means that the task never fits.
+// Units returns how many credits the start of a task takes at an agent: one, or as
+// many as its memory needs if each slot stands for an equal share of the worker's
+// memory. A worker starts each task that it gets, even if its memory does not
+// suffice. Since credits never exceed slots, counting in units keeps the reserved
+// memory within that of the worker. A result above slots means that the task does
+// not fit on the worker at all.
 func Units(taskMemory, workerMemory uint64, slots int) int {
 	if slots <= 0 || workerMemory == 0 {
 		return 1
@@ -13,7 +14,7 @@
 	if slot == 0 || taskMemory > workerMemory {
 		return slots + 1
 	}
-	// The slots' parts leave a remainder of less than a byte per slot: a task of
-	// the worker's whole memory takes all slots, not one more.
+	// The division leaves a remainder of less than a byte per slot. A task that
+	// needs all the memory of the worker must take all slots, not one more.
 	return min(int(max((taskMemory+slot-1)/slot, 1)), slots)
 }
