--- a/dispatch/agent/agent.go
+++ b/dispatch/agent/agent.go
@@ -13,27 +13,27 @@
 type Agent struct {
 	opts Options
 
-	peers []*peer            // in order of arrival, so that runs are repeatable
+	peers []*peer            // by arrival, so that the order is deterministic
 	jobs  map[string]*record // by job.Name
-	// oldest ended jobs first, for eviction
-	ended       []*record
-	tasks       int // tasks in all records
-	resultBytes int
-
-	slots    slots
-	queue    []queued // starts that wait for a slot, by class, oldest first
-	running  int
-	reserved uint64
-	loads    map[string]*pb.ContractLoad
-
-	fences     map[string]time.Time
-	fenceOrder []string
-	// evicted holds the homes with dropped records; unacked those of them that had
-	// not acknowledged every result dropped.
-	evicted, unacked homeSet
-
-	// dropped counts the records evicted since the last Ready
-	dropped int
+	// evictionQueue holds ended jobs that no entry waits for, oldest first.
+	evictionQueue []*record
+	tasks         int // tasks in all records
+	resultBytes   int
+
+	slots          slotAllocator
+	queue          []queuedTask // starts that wait for a slot, by class, oldest first
+	running        int
+	reservedMemory uint64 // bytes of memory of the running tasks
+	contractLoads  map[string]*pb.ContractLoad
+
+	fences     map[string]time.Time // expiry by job.Name
+	fenceOrder []string             // by expiry
+	// evictedHomes holds the homes of evicted records, and unackedHomes those of
+	// them that had not acknowledged all of the evicted results.
+	evictedHomes, unackedHomes homeSet
+
+	// evictions counts the records evicted since the last call of Ready.
+	evictions int
 
 	leaving bool
 	ready   Ready
@@ -41,47 +41,47 @@
 
 // peer is one entry process.
 type peer struct {
-	hello   *pb.EntryHello
-	session link.Session
-	downAt  time.Time // when the last link was lost
-	lost    bool      // without a link for PeerLostAfter
-	told    bool      // that the agent is leaving, on the link in use
-	knows   bool      // that the agent is leaving: it has acknowledged that
-
-	leaving    bool          // as last told, for operators
-	out        pb.AgentFrame // content of the next frame
-	dirty      bool
-	unacked    []sentNews
+	hello        *pb.EntryHello
+	session      link.Session
+	downAt       time.Time // when the last link was lost
+	lost         bool      // without a link for PeerLostAfter, or ended
+	leavingSent  bool      // notified on the link in use that the agent is leaving
+	leavingAcked bool      // has acknowledged that the agent is leaving
+
+	leaving    bool          // last reported by the entry; for operators only
+	pending    pb.AgentFrame // content of the next frame
+	dirty      bool          // a frame is to be sent
+	unacked    []sentResults
 	loadSentAt time.Time
 }
 
-// sentNews is the tasks whose results went out with frame seq.
-type sentNews struct {
+// sentResults holds the tasks whose results were sent in frame seq.
+type sentResults struct {
 	seq   uint64
 	tasks []*task
 }
 
-// record is what the agent knows of one job.
+// record is the agent's state of one job.
 type record struct {
-	name     string // job.Name
-	contract string
-	id       string
-	home     string
-	digest   uint64
-	tasks    map[uint32]*task
-	running  int
-	open     int // tasks running or not acknowledged
-	watchers []string
-	listed   bool // in Agent.ended
+	name           string // job.Name
+	contract       string
+	id             string
+	home           string
+	digest         uint64
+	tasks          map[uint32]*task
+	active         int      // tasks without a result, including queued ones
+	open           int      // tasks that run or whose result is not acknowledged
+	watchers       []string // other entries that get the results
+	evictionQueued bool     // in Agent.evictionQueue
 }
 
 type task struct {
 	rec      *record
 	index    uint32
 	memory   uint64
-	units    int            // slots that it takes
-	queued   bool           // accepted, and not started yet
-	result   *pb.TaskResult // nil while running
+	units    int            // slots that the task takes
+	queued   bool           // accepted but not started
+	result   *pb.TaskResult // nil while queued or running
 	acked    bool
 	stopping bool
 }
@@ -90,24 +90,24 @@
 func New(opts Options) *Agent {
 	opts = opts.withDefaults()
 	return &Agent{
-		opts:   opts,
-		slots:  newSlots(opts),
-		jobs:   make(map[string]*record),
-		loads:  make(map[string]*pb.ContractLoad),
-		fences: make(map[string]time.Time),
+		opts:          opts,
+		slots:         newSlotAllocator(opts),
+		jobs:          make(map[string]*record),
+		contractLoads: make(map[string]*pb.ContractLoad),
+		fences:        make(map[string]time.Time),
 	}
 }
 
-// Tick takes in the passing of time; call it no later than Next says.
+// Tick handles timeouts. Call it no later than the time that Next returns.
 func (a *Agent) Tick(now time.Time) {
 	for _, p := range a.peers {
 		if !p.session.IsUp() && !p.lost && !now.Before(p.downAt.Add(a.opts.PeerLostAfter)) {
-			a.lose(p)
+			a.markLost(p)
 		}
 		if p.session.Silent(now) {
 			a.recordPeer(now, event.PeerSuspected, p, "the link has gone silent", p.session.Epoch())
 			a.ready.Relink = append(a.ready.Relink, p.hello.Incarnation)
-			a.drop(now, p)
+			a.disconnect(now, p)
 		} else if p.session.Due(now) {
 			p.dirty = true
 		}
@@ -115,7 +115,8 @@
 	a.balance(now)
 }
 
-// Next is when Tick is due; zero: not before the next input.
+// Next returns the time of the next call of Tick, or zero if none is needed before
+// the next input.
 func (a *Agent) Next() time.Time {
 	next := a.slots.RecallAt()
 	for _, p := range a.peers {
@@ -127,43 +128,45 @@
 	return next
 }
 
-// Leave stops the agent from taking new work and tells every entry.
+// Leave makes the agent refuse new tasks and notifies every entry.
 func (a *Agent) Leave(now time.Time) {
 	a.leaving = true
 	a.opts.Events.Record(now, event.Event{Kind: event.DrainBegun, Detail: "no new tasks", Value: uint64(a.running)})
-	a.unqueueJob("", job.RefusedLeaving)
+	a.refuseQueuedJob("", job.RefusedLeaving)
 	for _, p := range a.peers {
 		a.slots.Unlink(p.hello.Incarnation)
 		p.dirty = p.session.IsUp()
 	}
 }
 
-// Drained reports whether nothing is left that an entry waits for. Each entry must
-// have acknowledged that this agent is leaving: a start that it sent before is
-// still on its way, and ending now would leave its outcome unknown. An entry that
-// has only lost its link is waited for too, or its results would be lost.
+// Drained reports whether no entry waits for anything from this agent. Each entry
+// must have acknowledged that the agent is leaving: until then one of its starts
+// may be in flight, and if the process ended now, the outcome of the task would be
+// unknown. Drained also waits for entries that have lost their link but are not
+// presumed dead, since their results would be lost.
 func (a *Agent) Drained() bool {
 	if a.running > 0 {
 		return false
 	}
 	for _, p := range a.peers {
-		if !p.lost && !a.parted(p) && !(p.session.IsUp() && p.told && p.session.Settled()) {
+		if !p.lost && !a.cleanlyDisconnected(p) && !(p.session.IsUp() && p.leavingSent && p.session.Settled()) {
 			return false
 		}
 	}
 	return true
 }
 
-// parted reports whether an entry without a link is owed nothing: it knows that
-// the agent leaves, every start that it sent before has arrived, and it has all
-// results. Waiting for such an entry to come back would keep a planned stop open
-// for as long as an entry that has crashed meanwhile counts as alive.
-func (a *Agent) parted(p *peer) bool {
-	return !p.session.IsUp() && p.knows && p.session.Settled() && !a.owes(p)
+// cleanlyDisconnected reports whether a disconnected entry needs nothing more from
+// the agent: it has acknowledged that the agent is leaving, all starts that it sent
+// before have arrived, and it has all results. If such an entry has crashed, waiting
+// for it would delay a planned stop for as long as it counts as alive.
+func (a *Agent) cleanlyDisconnected(p *peer) bool {
+	return !p.session.IsUp() && p.leavingAcked && p.session.Settled() && !a.hasOpenTasks(p)
 }
 
-// owes reports whether the entry waits for a task or for a result.
-func (a *Agent) owes(p *peer) bool {
+// hasOpenTasks reports whether tasks of the entry run here or have a result that
+// the entry has not acknowledged.
+func (a *Agent) hasOpenTasks(p *peer) bool {
 	for _, rec := range a.jobs {
 		if rec.open > 0 && rec.home == p.hello.Incarnation {
 			return true
@@ -172,35 +175,35 @@
 	return false
 }
 
-// Size is what an Agent holds in memory.
+// Size holds the sizes of the state that an Agent keeps in memory.
 type Size struct {
 	Tasks, ResultBytes, Fences int
-	// Held counts the tasks that can't be evicted: they run, or their home has yet
-	// to acknowledge the result.
+	// Held counts the tasks of jobs that can't be evicted, since a task runs or the
+	// home has not acknowledged every result.
 	Held int
 }
 
-// Size returns the sizes that Options bound.
+// Size returns the sizes that Options bounds.
 func (a *Agent) Size() Size {
-	s := Size{Tasks: a.tasks, ResultBytes: a.resultBytes, Fences: len(a.fences)}
+	size := Size{Tasks: a.tasks, ResultBytes: a.resultBytes, Fences: len(a.fences)}
 	for _, rec := range a.jobs {
-		if rec.running > 0 || !a.unwanted(rec) {
-			s.Held += len(rec.tasks)
+		if rec.active > 0 || !a.evictable(rec) {
+			size.Held += len(rec.tasks)
 		}
 	}
-	return s
+	return size
 }
 
-// Ready returns what has to be done since the last call.
+// Ready returns the work for the driver that has accumulated since the last call.
 func (a *Agent) Ready(now time.Time) Ready {
 	for _, p := range a.peers {
 		if p.dirty && p.session.IsUp() {
 			a.flush(now, p)
 		}
 	}
-	if a.dropped > 0 {
-		a.opts.Events.Record(now, event.Event{Kind: event.RecordsEvicted, Value: uint64(a.dropped)})
-		a.dropped = 0
+	if a.evictions > 0 {
+		a.opts.Events.Record(now, event.Event{Kind: event.RecordsEvicted, Value: uint64(a.evictions)})
+		a.evictions = 0
 	}
 	r := a.ready
 	a.ready = Ready{}
--- a/dispatch/agent/agent_test.go
+++ b/dispatch/agent/agent_test.go
@@ -18,15 +18,15 @@
 	start = time.Unix(1000, 0)
 )
 
-// peer is the far side of the links to one agent.
+// peer simulates the entries linked to one agent.
 type peer struct {
-	t     *testing.T
-	agent *agent.Agent
-	now   time.Time
-	epoch uint64
-	seq   uint64
-	runs  []agent.TaskRef
-	heard []*pb.AgentFrame // on the link in use
+	t        *testing.T
+	agent    *agent.Agent
+	now      time.Time
+	epoch    uint64
+	seq      uint64
+	runs     []agent.TaskRef
+	received []*pb.AgentFrame // on the link in use
 }
 
 func newPeer(t *testing.T, opts agent.Options) *peer {
@@ -38,7 +38,7 @@
 func (p *peer) link(entry string) {
 	p.t.Helper()
 	p.epoch++
-	p.seq, p.heard = 0, nil
+	p.seq, p.received = 0, nil
 	hello := &pb.EntryHello{Incarnation: entry, AgentIncarnation: "1", Epoch: p.epoch}
 	if why := p.agent.LinkUp(p.now, hello); why != "" {
 		p.t.Fatal(why)
@@ -53,7 +53,7 @@
 	}
 	for _, f := range r.Frames {
 		if f.Epoch == p.epoch {
-			p.heard = append(p.heard, f.Frame)
+			p.received = append(p.received, f.Frame)
 		}
 	}
 }
@@ -77,10 +77,10 @@
 	p.drain()
 }
 
-// outcomes lists what the agent has said of a job on the link in use.
+// outcomes lists the outcomes that the agent has sent for a job on the link in use.
 func (p *peer) outcomes(name string) []pb.Outcome {
 	var out []pb.Outcome
-	for _, f := range p.heard {
+	for _, f := range p.received {
 		for _, n := range f.News {
 			for _, r := range n.Results {
 				if n.Job == name {
@@ -92,10 +92,9 @@
 	return out
 }
 
-// The endpoint proves that a task did not begin while the link to its home is
-// being replaced. The news crosses the start that the home sends again. Were that
-// start run, the home would have sent the task elsewhere by then, and a customer
-// would find the work done twice.
+// A task must not run twice if its "not run" result crosses the start that the home
+// resends on a new link: when the home receives the result, it sends the task
+// elsewhere.
 func TestNotRunCrossesResentStart(t *testing.T) {
 	p := newPeer(t, agent.Options{})
 	id := home + "-0.x"
@@ -114,9 +113,10 @@
 	}
 }
 
-// An entry is paused for so long that the agent has to drop results it never
-// acknowledged. It comes back, sends its starts again and revokes others. A caller
-// told "not run" would do the work again; a start that runs does so by itself.
+// An entry is paused for so long that the agent evicts results which it has not
+// acknowledged. When the entry resumes and resends or revokes these tasks, the agent
+// must neither run them again nor report them as not run, since the caller would
+// then repeat the work.
 func TestDroppedRecordsLeaveOutcomeUnknown(t *testing.T) {
 	p := newPeer(t, agent.Options{MaxRecords: 2, PeerLostAfter: time.Second})
 	p.link(home)
@@ -149,20 +149,20 @@
 		}
 	}
 	if len(p.runs) != 4 {
-		t.Errorf("%d runs, want none for the start sent again", len(p.runs))
+		t.Errorf("%d runs, want none for the resent start", len(p.runs))
 	}
 }
 
-// An agent is told to stop while a start is on its way to it. Ending at once
-// would lose that start, and the caller would hear "outcome unknown" of a stop
-// that was planned.
-func TestDrainWaitsForStartsOnTheirWay(t *testing.T) {
+// An agent drains while a start is in flight to it. If the agent ended at once, the
+// start would be lost and the caller would get "outcome unknown" because of a
+// planned stop.
+func TestDrainWaitsForStartsInFlight(t *testing.T) {
 	p := newPeer(t, agent.Options{})
 	p.link(home)
 	p.agent.Leave(p.now)
 	p.drain()
 	if p.agent.Drained() {
-		t.Fatal("drained before the entry has acknowledged that the agent leaves")
+		t.Fatal("drained before the entry has acknowledged that the agent is leaving")
 	}
 	name := job.Name("c", home+"-0.x")
 	p.startTask(name, false)
@@ -172,15 +172,15 @@
 	if p.agent.Drained() {
 		t.Fatal("drained before the refusal was acknowledged")
 	}
-	p.send(home, &pb.EntryFrame{Ack: uint64(len(p.heard))})
+	p.send(home, &pb.EntryFrame{Ack: uint64(len(p.received))})
 	if !p.agent.Drained() {
-		t.Fatal("not drained though all is acknowledged")
+		t.Fatal("not drained although everything is acknowledged")
 	}
 }
 
-// A home is cut off from one entry, which takes it for dead, but not from the
-// agent. Fencing would end a job that goes well.
-func TestFenceSparesHomeThatIsHeard(t *testing.T) {
+// A home is partitioned from one entry, which presumes it dead, but not from the
+// agent. A fence must not end a job that is making progress.
+func TestFenceSparesReachableHome(t *testing.T) {
 	id := home + "-0.x"
 	name := job.Name("c", id)
 	for _, tt := range []struct {
@@ -189,9 +189,9 @@
 		alive               bool
 		runs                int
 	}{
-		{name: "home heard", alive: true, runs: 1},
+		{name: "home connected", alive: true, runs: 1},
 		{name: "home proven to have ended", homeEnded: true},
-		{name: "home not heard", homeDown: true},
+		{name: "home disconnected", homeDown: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPeer(t, agent.Options{})
@@ -202,7 +202,7 @@
 			homeEpoch := p.epoch
 			p.link(other)
 			p.send(other, &pb.EntryFrame{Fences: []*pb.Fence{{Job: name, HomeEnded: tt.homeEnded}}})
-			report := p.heard[len(p.heard)-1].Fenced[0]
+			report := p.received[len(p.received)-1].Fenced[0]
 			if report.HomeAlive != tt.alive {
 				t.Errorf("home alive: %v, want %v", report.HomeAlive, tt.alive)
 			}
@@ -213,15 +213,15 @@
 			}
 			p.startTask(name, false)
 			if len(p.runs) != tt.runs {
-				t.Errorf("%d runs behind the fence, want %d", len(p.runs), tt.runs)
+				t.Errorf("%d runs after the fence, want %d", len(p.runs), tt.runs)
 			}
 		})
 	}
 }
 
-// A home is paused, and another entry gathers the job's results and acknowledges
-// them. Were that taken for the home's word, the agent would drop the record for
-// new work, and the home, awake again, would have the task run a second time.
+// A home is paused, and another entry collects the job's results and acknowledges
+// them. If that counted as the home's acknowledgement, the agent could evict the
+// record, and the home would have the task run a second time after it resumes.
 func TestOnlyHomeAcknowledges(t *testing.T) {
 	p := newPeer(t, agent.Options{MaxRecords: 1})
 	id := home + "-0.x"
@@ -234,25 +234,25 @@
 	p.send(other, &pb.EntryFrame{Fences: []*pb.Fence{{Job: name}}})
 	p.end(id, pb.Outcome_OUTCOME_COMPLETE)
 	if diff := cmp.Diff([]pb.Outcome{pb.Outcome_OUTCOME_COMPLETE}, p.outcomes(name)); diff != "" {
-		t.Fatalf("outcomes told to the gathering entry (-want +got):\n%s", diff)
+		t.Fatalf("outcomes sent to the collecting entry (-want +got):\n%s", diff)
 	}
 	p.send(other, &pb.EntryFrame{
-		Ack:    uint64(len(p.heard)),
+		Ack:    uint64(len(p.received)),
 		Starts: []*pb.StartBatch{{Job: job.Name("c", other+"-0.y"), TimeoutMs: 60_000, Tasks: []*pb.TaskStart{{}}}},
 	})
 	if len(p.runs) != 1 {
-		t.Errorf("%d runs, want the new start refused for want of room", len(p.runs))
+		t.Errorf("%d runs, want the new start refused since the table is full", len(p.runs))
 	}
 	p.link(home)
 	p.startTask(name, true)
 	if len(p.runs) != 1 {
-		t.Errorf("%d runs, want none for the start sent again", len(p.runs))
+		t.Errorf("%d runs, want none for the resent start", len(p.runs))
 	}
 }
 
-// An agent's process was paused, and reads a start that has waited for it since.
-// The job may be over by now; its customer would pay for work that nobody wants.
-func TestStartReadAfterPause(t *testing.T) {
+// An agent was paused and then reads a stale start. The job may have ended
+// meanwhile, so that the work would be charged to the customer for nothing.
+func TestStaleStartAfterPause(t *testing.T) {
 	p := newPeer(t, agent.Options{})
 	name := job.Name("c", home+"-0.x")
 	p.link(home)
--- a/dispatch/agent/credits.go
+++ b/dispatch/agent/credits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// balance hands out free slots and asks for idle credits back, as package limit
+// balance grants free slots to entries and recalls idle credits, as package limit
 // decides.
 func (a *Agent) balance(now time.Time) {
 	if a.leaving {
@@ -10,16 +10,16 @@
 	}
 	for _, g := range a.slots.Balance(now, nil) {
 		p := a.peer(g.Entry)
-		p.out.Granted += uint32(g.Granted)
-		p.out.Recall += uint32(g.Recall)
+		p.pending.Granted += uint32(g.Granted)
+		p.pending.Recall += uint32(g.Recall)
 		p.dirty = true
 	}
 }
 
-// regrant lets the slots of a task that ended ride on its result, to the entry
-// that used them, unless they are due to another.
-func (a *Agent) regrant(p *peer, units int) {
+// grantAgain grants the slots of an ended task again to the entry that used them,
+// in the frame that carries the result, unless another entry is entitled to them.
+func (a *Agent) grantAgain(p *peer, units int) {
 	if !a.leaving {
-		p.out.Granted += uint32(a.slots.Sticky(p.hello.Incarnation, units))
+		p.pending.Granted += uint32(a.slots.Sticky(p.hello.Incarnation, units))
 	}
 }
--- a/dispatch/agent/events.go
+++ b/dispatch/agent/events.go
@@ -7,24 +7,24 @@
 	"github.com/papayahoist/papayahoist/dispatch/event"
 )
 
-// recordPeer keeps an event about an entry.
+// recordPeer records an event about an entry.
 func (a *Agent) recordPeer(now time.Time, kind event.Kind, p *peer, detail string, value uint64) {
 	a.opts.Events.Record(now, event.Event{Kind: kind, Peer: p.hello.Entry, Detail: detail, Value: value})
 }
 
-// recordTask keeps an event about a task and the entry that sent it.
+// recordTask records an event about a task and the entry that sent it.
 func (a *Agent) recordTask(now time.Time, kind event.Kind, p *peer, ref TaskRef, detail string) {
 	a.opts.Events.Record(now, event.Event{
 		Kind: kind, Job: ref.Job, Task: ref.Task, Contract: ref.Contract, Peer: p.hello.Entry, Detail: detail,
 	})
 }
 
-// recordEnd keeps a task's end at the endpoint. Peer is the job's home if it is
-// still known.
+// recordEnd records the end of a task at the endpoint. The peer of the event is the
+// job's home, if the home is still known.
 func (a *Agent) recordEnd(now time.Time, rec *record, res *pb.TaskResult) {
 	ev := event.Event{
 		Kind: event.TaskResult, Job: rec.id, Task: res.Task, Contract: rec.contract,
-		Detail: endText(res), Value: uint64(res.RunMillis),
+		Detail: resultText(res), Value: uint64(res.RunMillis),
 	}
 	if home := a.homeOf(rec); home != nil {
 		ev.Peer = home.hello.Entry
@@ -32,7 +32,7 @@
 	a.opts.Events.Record(now, ev)
 }
 
-func endText(res *pb.TaskResult) string {
+func resultText(res *pb.TaskResult) string {
 	text := ""
 	switch res.Outcome {
 	case pb.Outcome_OUTCOME_COMPLETE:
@@ -50,7 +50,7 @@
 	return text + ": " + res.Error
 }
 
-// recordFence keeps what a fence was answered with.
+// recordFence records the report sent in answer to a fence.
 func (a *Agent) recordFence(now time.Time, p *peer, report *pb.FenceReport) {
 	detail := ""
 	if report.Evicted {
@@ -62,7 +62,7 @@
 	})
 }
 
-// recordSent keeps how a frame to an entry moves credits.
+// recordSent records the credits that a frame to an entry grants or recalls.
 func (a *Agent) recordSent(now time.Time, p *peer, f *pb.AgentFrame) {
 	if f.Granted > 0 {
 		a.recordPeer(now, event.CreditsGranted, p, "", uint64(f.Granted))
@@ -72,7 +72,8 @@
 	}
 }
 
-// recordReceived keeps what a frame from an entry says about the entry.
+// recordReceived records returned credits and a drain reported in a frame from an
+// entry.
 func (a *Agent) recordReceived(now time.Time, p *peer, f *pb.EntryFrame) {
 	if f.Returned > 0 {
 		a.recordPeer(now, event.CreditsReturned, p, "", uint64(f.Returned))
--- a/dispatch/agent/fences.go
+++ b/dispatch/agent/fences.go
@@ -7,26 +7,26 @@
 	"github.com/papayahoist/papayahoist/dispatch/job"
 )
 
-// fence refuses every later start of a job whose home is taken for gone, and
-// reports what was started.
+// fence makes the agent refuse every later start of a job whose home is presumed
+// dead, and reports the job's tasks to the requesting entry.
 func (a *Agent) fence(now time.Time, p *peer, f *pb.Fence) {
 	report := &pb.FenceReport{Job: f.Job}
 	_, bare := job.SplitName(f.Job)
 	id, _ := job.Parse(bare)
 	if home := a.peer(id.Home.Incarnation); !f.HomeEnded && home != nil && home.session.IsUp() && !home.session.Silent(now) {
-		// The asker can't reach the home, but this agent does: fencing would end a
-		// job that goes well.
+		// The requesting entry can't reach the home, but this agent can: fencing
+		// would end a job that is making progress.
 		report.HomeAlive = true
 	} else if !a.addFence(now, f.Job) {
-		// Without room the job can't be fenced, and saying so keeps the asker from
-		// drawing conclusions.
+		// The table of fences is full and the job is not fenced. Evicted tells the
+		// requesting entry that the report is incomplete.
 		report.Evicted = true
 	}
-	if a.evicted.has(id.Home.Incarnation) {
+	if a.evictedHomes.has(id.Home.Incarnation) {
 		report.Evicted = true
 	}
 	if a.fenced(f.Job) {
-		a.unqueueJob(f.Job, job.RefusedFenced)
+		a.refuseQueuedJob(f.Job, job.RefusedFenced)
 	}
 	if rec := a.jobs[f.Job]; rec != nil {
 		report.Digest = rec.digest
@@ -40,11 +40,11 @@
 		rec.watch(p.hello.Incarnation)
 	}
 	a.recordFence(now, p, report)
-	p.out.Fenced = append(p.out.Fenced, report)
+	p.pending.Fenced = append(p.pending.Fenced, report)
 	p.dirty = true
 }
 
-// addFence reports whether the job is fenced.
+// addFence fences a job. It returns false if MaxFences is reached.
 func (a *Agent) addFence(now time.Time, name string) bool {
 	a.expireFences(now)
 	if a.fenced(name) {
@@ -58,8 +58,8 @@
 	return true
 }
 
-func (a *Agent) fenced(jobID string) bool {
-	_, ok := a.fences[jobID]
+func (a *Agent) fenced(name string) bool {
+	_, ok := a.fences[name]
 	return ok
 }
 
--- a/dispatch/agent/links.go
+++ b/dispatch/agent/links.go
@@ -9,78 +9,81 @@
 	"github.com/papayahoist/papayahoist/dispatch/job"
 )
 
-// LinkUp takes in a new link. It returns the reason when the link is refused.
+// LinkUp registers a new link of an entry. If the link is refused, it returns the
+// reason, otherwise an empty string.
 func (a *Agent) LinkUp(now time.Time, hello *pb.EntryHello) (refused string) {
 	if hello.AgentIncarnation != a.opts.Hello.Incarnation {
-		// A start meant for the process before this one must not run here: the
-		// entry may have had it started there already.
+		// A start sent to an earlier process of the agent must not run here: that
+		// process may have started it already.
 		return "another incarnation of the agent"
 	}
 	p := a.peer(hello.Incarnation)
 	if p == nil {
-		a.forgetPeers()
+		a.removeLostPeers()
 		p = &peer{}
 		a.peers = append(a.peers, p)
 	} else if hello.Epoch <= p.session.Epoch() {
-		// A connection that was slow to open after its successor: its starts are
-		// older than what the entry knows now.
+		// This connection was opened before the one in use but took longer. Its
+		// starts may be stale.
 		return "older than the link in use"
 	}
 	p.hello = hello
-	p.lost, p.told = false, false
+	p.lost, p.leavingSent = false, false
 	p.session.Up(now, hello.Epoch, a.opts.Link)
 	a.recordPeer(now, event.LinkUp, p, "", hello.Epoch)
 	a.slots.Link(hello.Incarnation, now)
 	p.unacked = nil
-	p.out = pb.AgentFrame{Hello: a.opts.Hello, Leaving: a.leaving}
+	p.pending = pb.AgentFrame{Hello: a.opts.Hello, Leaving: a.leaving}
 	p.loadSentAt = time.Time{}
 	p.dirty = true
-	a.requeueResults(p)
+	a.resendResults(p)
 	a.balance(now)
 	return ""
 }
 
-// requeueResults puts every result the entry has not acknowledged on its new
-// link: what was sent on the old one may never have arrived.
-func (a *Agent) requeueResults(p *peer) {
+// resendResults queues on the new link of an entry every result that the entry has
+// not acknowledged: what was sent on the old link may not have arrived.
+func (a *Agent) resendResults(p *peer) {
 	for _, rec := range a.sortedRecords(p.hello.Incarnation) {
 		for _, t := range rec.sortedTasks() {
 			if t.result != nil && !t.acked {
-				a.addNews(p, rec.name, t.result)
+				a.addResult(p, rec.name, t.result)
 			}
 		}
 	}
 }
 
-// LinkDown ends a link. Its credits return at once: starts that are still on
-// their way on it will be dropped.
+// LinkDown handles the end of a link. The credits granted on it are free at once,
+// since starts in flight on it will be dropped.
 func (a *Agent) LinkDown(now time.Time, entry string, epoch uint64) {
 	p := a.peer(entry)
 	if p == nil || p.session.Epoch() != epoch || !p.session.IsUp() {
 		return
 	}
 	a.recordPeer(now, event.LinkDown, p, "the connection ended", epoch)
-	a.drop(now, p)
+	a.disconnect(now, p)
 	a.balance(now)
 }
 
-func (a *Agent) drop(now time.Time, p *peer) {
+func (a *Agent) disconnect(now time.Time, p *peer) {
 	p.session.Down()
 	p.downAt = now
 	a.slots.Unlink(p.hello.Incarnation)
-	p.out = pb.AgentFrame{}
+	p.pending = pb.AgentFrame{}
 	p.dirty = false
 }
 
-// Step takes in a frame of the link with the given epoch.
+// Step handles a frame received on the link with the given epoch. Frames of other
+// links are ignored.
 func (a *Agent) Step(now time.Time, entry string, epoch uint64, f *pb.EntryFrame) {
 	p := a.peer(entry)
 	if p == nil || p.session.Epoch() != epoch {
 		return
 	}
 	if p.session.Silent(now) {
-		// This process was paused, and reads what has waited for it: starts of jobs
-		// that may be over. Over a new link it gets those that are still wanted.
+		// This process was paused and now reads stale frames, with starts of jobs
+		// that may have ended. The entry resends on a new link the starts that it
+		// still wants.
 		a.Tick(now)
 		return
 	}
@@ -91,13 +94,13 @@
 		a.recordPeer(now, event.ClockRejected, p, "its clock is too far ahead", 0)
 	}
 	a.recordReceived(now, p, f)
-	a.acknowledged(p)
+	a.handleAck(p)
 	a.slots.SetWant(entry, int(f.Want))
 	if f.Returned > 0 || f.Recalled {
 		a.slots.Returned(entry, int(f.Returned))
 	}
 	for _, b := range f.Starts {
-		a.start(now, p, b)
+		a.startBatch(now, p, b)
 	}
 	for _, r := range f.Revokes {
 		a.revoke(now, p, r)
@@ -109,72 +112,73 @@
 		a.finished(id)
 	}
 	if f.Ended {
-		a.drop(now, p)
-		a.lose(p)
+		a.disconnect(now, p)
+		a.markLost(p)
 	}
-	a.runQueued(now)
+	a.startQueued(now)
 	a.balance(now)
 }
 
-// lose takes an entry for gone: nobody waits for its results any more.
-func (a *Agent) lose(p *peer) {
+// markLost marks an entry as dead: its queued tasks are refused and its results may
+// be evicted.
+func (a *Agent) markLost(p *peer) {
 	p.lost = true
 	for _, q := range slices.Clone(a.queue) {
 		if q.task.rec.home == p.hello.Incarnation {
-			a.unqueue(q.task, job.RefusedRevoked)
+			a.refuseQueued(q.task, job.RefusedRevoked)
 		}
 	}
-	a.retireAll(p.hello.Incarnation)
+	a.queueEvictionsOf(p.hello.Incarnation)
 }
 
-// HasContent reports whether a frame must be acknowledged.
+// HasContent reports whether a frame from an entry must be acknowledged.
 func HasContent(f *pb.EntryFrame) bool {
 	return f.Hello != nil || len(f.Starts) > 0 || len(f.Revokes) > 0 || len(f.Fences) > 0 ||
 		f.Returned > 0 || len(f.Contracts) > 0
 }
 
-func (a *Agent) acknowledged(p *peer) {
+func (a *Agent) handleAck(p *peer) {
 	acked := p.session.Acked()
 	n := 0
 	for ; n < len(p.unacked) && p.unacked[n].seq <= acked; n++ {
 		for _, t := range p.unacked[n].tasks {
-			a.taskAcked(t)
+			a.markAcked(t)
 		}
 	}
 	p.unacked = p.unacked[n:]
-	p.knows = p.knows || (a.leaving && p.told && p.session.Settled())
+	p.leavingAcked = p.leavingAcked || (a.leaving && p.leavingSent && p.session.Settled())
 }
 
-func (a *Agent) taskAcked(t *task) {
+func (a *Agent) markAcked(t *task) {
 	if t.acked {
 		return
 	}
 	t.acked = true
 	t.rec.open--
 	if t.notRun() {
-		// From here on a start of the task is a new one.
-		a.dropTask(t)
+		// Any later start of the task is a new one.
+		a.removeTask(t)
 		return
 	}
-	a.retire(t.rec)
+	a.queueEviction(t.rec)
 }
 
-func (a *Agent) addNews(p *peer, jobID string, res *pb.TaskResult) {
+func (a *Agent) addResult(p *peer, jobID string, res *pb.TaskResult) {
 	p.dirty = true
-	news := p.out.News
+	news := p.pending.News
 	if n := len(news); n > 0 && news[n-1].Job == jobID {
 		news[n-1].Results = append(news[n-1].Results, res)
 		return
 	}
-	p.out.News = append(news, &pb.TaskNews{Job: jobID, Results: []*pb.TaskResult{res}})
+	p.pending.News = append(news, &pb.TaskNews{Job: jobID, Results: []*pb.TaskResult{res}})
 }
 
 func (a *Agent) flush(now time.Time, p *peer) {
 	f := &pb.AgentFrame{
-		Hello: p.out.Hello, News: p.out.News, Fenced: p.out.Fenced,
-		Granted: p.out.Granted, Recall: p.out.Recall, Leaving: a.leaving,
+		Hello: p.pending.Hello, News: p.pending.News, Fenced: p.pending.Fenced,
+		Granted: p.pending.Granted, Recall: p.pending.Recall, Leaving: a.leaving,
 	}
-	p.out = pb.AgentFrame{}
+	p.pending = pb.AgentFrame{}
 	p.dirty = false
 	if now.Sub(p.loadSentAt) >= a.opts.LoadEvery {
 		f.Load = a.load()
@@ -185,22 +189,22 @@
 		f.Spare = &spare
 		f.Waiting = uint32(a.slots.Queued(p.hello.Incarnation))
 	}
-	content := f.Hello != nil || len(f.News) > 0 || len(f.Fenced) > 0 || f.Granted > 0 || (a.leaving && !p.told)
-	p.told = a.leaving
+	content := f.Hello != nil || len(f.News) > 0 || len(f.Fenced) > 0 || f.Granted > 0 || (a.leaving && !p.leavingSent)
+	p.leavingSent = a.leaving
 	f.Seq, f.Ack = p.session.Send(now, content)
 	a.recordSent(now, p, f)
 	f.Clock = a.opts.Events.Stamp(now)
-	if tasks := a.tasksOf(p, f.News); len(tasks) > 0 {
-		p.unacked = append(p.unacked, sentNews{seq: f.Seq, tasks: tasks})
+	if tasks := a.recordedTasks(p, f.News); len(tasks) > 0 {
+		p.unacked = append(p.unacked, sentResults{seq: f.Seq, tasks: tasks})
 	}
 	a.ready.Frames = append(a.ready.Frames, Out{Entry: p.hello.Incarnation, Epoch: p.session.Epoch(), Frame: f})
 }
 
-// tasksOf lists the recorded tasks of a home that news is about; refusals have no
-// record. Only the home's acknowledgement counts: with that of an entry that
-// gathers results, the record would be evicted, and the home, back from a pause,
-// would have the task run again.
-func (a *Agent) tasksOf(home *peer, news []*pb.TaskNews) []*task {
+// recordedTasks returns the recorded tasks whose results are in news and whose home
+// is the given entry; refusals have no record. Only the home's acknowledgement
+// counts. If that of another entry that collects the results counted too, the record
+// could be evicted, and the home could have the task run again after a pause.
+func (a *Agent) recordedTasks(home *peer, news []*pb.TaskNews) []*task {
 	var out []*task
 	for _, n := range news {
 		rec := a.jobs[n.Job]
@@ -220,10 +224,10 @@
 	l := &pb.AgentLoad{
 		Running:             uint32(a.running),
 		FreeSlots:           uint32(max(a.slots.Free(), 0)),
-		ReservedMemoryBytes: a.reserved,
+		ReservedMemoryBytes: a.reservedMemory,
 	}
-	for _, c := range sortedKeys(a.loads) {
-		cl := a.loads[c]
+	for _, c := range sortedKeys(a.contractLoads) {
+		cl := a.contractLoads[c]
 		l.Contracts = append(l.Contracts, &pb.ContractLoad{Contract: cl.Contract, Running: cl.Running, MemoryBytes: cl.MemoryBytes})
 	}
 	return l
--- a/dispatch/agent/options.go
+++ b/dispatch/agent/options.go
@@ -12,32 +12,34 @@
 
 // Options configure an Agent.
 type Options struct {
-	// Hello names the agent and its worker's size.
+	// Hello identifies the agent and states the size of its worker.
 	Hello *pb.AgentHello
 	Link  link.Options
-	// MaxRecords bounds the tasks the agent remembers, running ones included.
+	// MaxRecords bounds the recorded tasks, including running ones.
 	MaxRecords int
-	// MaxResultBytes bounds the results it keeps.
+	// MaxResultBytes bounds the total size of the recorded results.
 	MaxResultBytes int
-	// FenceTTL is how long a fence holds; longer than any job may last.
+	// FenceTTL is how long a fence stays in force. It must exceed the duration of
+	// any job.
 	FenceTTL time.Duration
-	// MaxFences bounds the fences held at once.
+	// MaxFences bounds the fences in force at once.
 	MaxFences int
-	// PeerLostAfter is when an entry without a link is taken for gone: a drain no
-	// longer waits for it, and its results may be evicted. It should exceed the
-	// entries' AgentLostAfter.
+	// PeerLostAfter is the time without a link after which an entry is presumed
+	// dead: a drain no longer waits for it, and its results may be evicted. It
+	// should exceed the entries' AgentLostAfter.
 	PeerLostAfter time.Duration
-	// Damping is how long an entry's credits must lie unused before they are
-	// recalled for another that waits.
+	// Damping is how long credits of an entry must be unused before they are
+	// recalled for another entry that waits.
 	Damping time.Duration
-	// Divided gives each slot to one entry at a time, by credits that move between
+	// Divided assigns each slot to one entry at a time, by credits that move between
 	// entries, instead of offering all slots to every entry.
 	Divided bool
-	// MaxQueued, if it is not negative, bounds the units of each entry that wait for a slot unless Divided is set.
+	// MaxQueued bounds the units of each entry that wait for a slot, unless it is
+	// negative or Divided is set.
 	MaxQueued int
-	// LoadEvery is the least time between load reports on one link.
+	// LoadEvery is the minimum time between load reports on one link.
 	LoadEvery time.Duration
-	// Events takes what happens, for the time line, and stamps messages; nil: none.
+	// Events records events for the time line and stamps messages. It may be nil.
 	Events *event.Ring
 }
 
@@ -50,12 +52,12 @@
 	DefaultPeerLostAfter  = 15 * time.Second
 	DefaultLoadEvery      = time.Second
 	DefaultMaxQueued      = 1
-	// maxHomes bounds the homes remembered for evicted records.
-	maxHomes       = 4096
-	DefaultDamping = 10 * time.Millisecond
+	// maxEvictedHomes bounds each set of the homes of evicted records.
+	maxEvictedHomes = 4096
+	DefaultDamping  = 10 * time.Millisecond
 )
 
-// UsePreset fills in what a preset says and the options leave open.
+// UsePreset sets options that are unset to the values of a preset.
 func (o *Options) UsePreset(p preset.Preset) {
 	if o.Link == (link.Options{}) {
 		o.Link = p.Link
@@ -76,10 +78,10 @@
 	return o
 }
 
-// TaskRef names one task.
+// TaskRef identifies one task.
 type TaskRef struct {
 	Contract string
-	Job      string // the id without the contract
+	Job      string // job ID without the contract
 	Task     uint32
 }
 
@@ -103,6 +105,7 @@
 	Frames []Out
 	Run    []Run
 	Stop   []TaskRef
-	// Relink lists the entries (incarnations) whose link has gone silent.
+	// Relink lists the entries (incarnations) whose link has timed out and must be
+	// replaced.
 	Relink []string
 }
--- a/dispatch/agent/queue.go
+++ b/dispatch/agent/queue.go
@@ -9,9 +9,9 @@
 	"github.com/papayahoist/papayahoist/dispatch/limit"
 )
 
-// slots is how the endpoint's slots are given to entries: divided by credits, or
-// shared by all.
-type slots interface {
+// slotAllocator assigns the slots of the endpoint to entries: either divided by
+// credits or shared by all entries.
+type slotAllocator interface {
 	Link(entry string, now time.Time)
 	Unlink(entry string)
 	SetWant(entry string, want int)
@@ -28,38 +28,38 @@
 	Free() int
 }
 
-func newSlots(o Options) slots {
+func newSlotAllocator(o Options) slotAllocator {
 	if o.Divided {
 		return limit.NewCredits(limit.CreditsOptions{Slots: int(o.Hello.Slots), Damping: o.Damping})
 	}
 	return limit.NewShared(limit.SharedOptions{Slots: int(o.Hello.Slots), MaxQueued: o.MaxQueued})
 }
 
-// queued is a task that was accepted and has not started.
-type queued struct {
+// queuedTask is a task that was accepted but has not started.
+type queuedTask struct {
 	task  *task
 	run   Run
 	class pb.Class
 }
 
-// enqueue puts a task behind those of its class and before those of lower ones:
-// an urgent task must not wait for another customer's bulk.
-func (a *Agent) enqueue(q queued) {
+// enqueue inserts a task after those of its class and before those of lower
+// classes: an urgent task must not wait for bulk work of another customer.
+func (a *Agent) enqueue(q queuedTask) {
 	q.task.queued = true
-	pos := slices.IndexFunc(a.queue, func(o queued) bool { return o.class > q.class })
+	pos := slices.IndexFunc(a.queue, func(o queuedTask) bool { return o.class > q.class })
 	if pos < 0 {
 		pos = len(a.queue)
 	}
 	a.queue = slices.Insert(a.queue, pos, q)
 }
 
-// runQueued starts what waits and fits now, in order. A task whose deadline has
-// passed meanwhile is refused: nobody waits for it.
-func (a *Agent) runQueued(now time.Time) {
+// startQueued starts queued tasks in order, as far as slots are free. Expired tasks
+// are refused, since no caller waits for them.
+func (a *Agent) startQueued(now time.Time) {
 	for len(a.queue) > 0 {
 		q := a.queue[0]
 		if !now.Before(q.run.Deadline) {
-			a.unqueue(q.task, job.RefusedRevoked)
+			a.refuseQueued(q.task, job.RefusedRevoked)
 			continue
 		}
 		if !a.slots.Dequeue(q.task.rec.home, q.task.units) {
@@ -71,27 +71,27 @@
 	}
 }
 
-// unqueue refuses a task that waits. It has not started, and with its place in
-// the queue gone it never will.
-func (a *Agent) unqueue(t *task, why string) {
+// refuseQueued removes a task from the queue and refuses it. The task has not
+// started and can't start any more.
+func (a *Agent) refuseQueued(t *task, reason string) {
 	rec := t.rec
-	a.queue = slices.DeleteFunc(a.queue, func(q queued) bool { return q.task == t })
+	a.queue = slices.DeleteFunc(a.queue, func(q queuedTask) bool { return q.task == t })
 	t.queued = false
 	a.slots.Cancel(rec.home, t.units)
-	t.result = refusal(t.index, why)
-	rec.running--
+	t.result = refusal(t.index, reason)
+	rec.active--
 	if home := a.homeOf(rec); home != nil && home.session.IsUp() {
-		a.addNews(home, rec.name, t.result)
-		a.regrant(home, t.units)
+		a.addResult(home, rec.name, t.result)
+		a.grantAgain(home, t.units)
 	}
-	a.retire(rec)
+	a.queueEviction(rec)
 }
 
-// unqueueJob refuses what waits of a job; an empty name means of all jobs.
-func (a *Agent) unqueueJob(name, why string) {
+// refuseQueuedJob refuses the queued tasks of a job, or of all jobs if name is empty.
+func (a *Agent) refuseQueuedJob(name, reason string) {
 	for _, q := range slices.Clone(a.queue) {
 		if name == "" || q.task.rec.name == name {
-			a.unqueue(q.task, why)
+			a.refuseQueued(q.task, reason)
 		}
 	}
 }
--- a/dispatch/agent/queue_test.go
+++ b/dispatch/agent/queue_test.go
@@ -12,8 +12,9 @@
 	"github.com/papayahoist/papayahoist/dispatch/job"
 )
 
-// full is an agent with one slot, in use, and tasks that wait for it.
-type full struct {
+// fullAgent is a fixture: an agent whose only slot is in use, with tasks queued for
+// it.
+type fullAgent struct {
 	t     *testing.T
 	now   time.Time
 	agent *agent.Agent
@@ -21,8 +22,8 @@
 	seq   uint64
 }
 
-func newFull(t *testing.T, waiting ...*pb.StartBatch) *full {
-	f := &full{t: t, now: time.Unix(1000, 0), home: strings.Repeat("a", 32)}
+func newFullAgent(t *testing.T, waiting ...*pb.StartBatch) *fullAgent {
+	f := &fullAgent{t: t, now: time.Unix(1000, 0), home: strings.Repeat("a", 32)}
 	f.agent = agent.New(agent.Options{Hello: &pb.AgentHello{Agent: "x", Incarnation: "i", Slots: 1}, MaxQueued: 3})
 	if why := f.agent.LinkUp(f.now, &pb.EntryHello{Entry: "e", Incarnation: f.home, AgentIncarnation: "i", Epoch: 1}); why != "" {
 		t.Fatal(why)
@@ -31,20 +32,20 @@
 	return f
 }
 
-func (f *full) name(id string) string { return "c/" + f.home + "-0." + id }
+func (f *fullAgent) name(id string) string { return "c/" + f.home + "-0." + id }
 
-func (f *full) start(id string, class pb.Class) *pb.StartBatch {
+func (f *fullAgent) start(id string, class pb.Class) *pb.StartBatch {
 	return &pb.StartBatch{Job: f.name(id), Class: class, TimeoutMs: 1000, Tasks: []*pb.TaskStart{{}}}
 }
 
-func (f *full) step(frame *pb.EntryFrame) {
+func (f *fullAgent) step(frame *pb.EntryFrame) {
 	f.seq++
 	frame.Seq = f.seq
 	f.agent.Step(f.now, f.home, 1, frame)
 }
 
-// ready returns the jobs that start, and those refused with the reasons.
-func (f *full) ready() (starts []string, refused map[string]string) {
+// ready returns the jobs that start, and the refused ones with their reasons.
+func (f *fullAgent) ready() (starts []string, refused map[string]string) {
 	r := f.agent.Ready(f.now)
 	for _, run := range r.Run {
 		_, id, _ := strings.Cut(run.Job, ".")
@@ -64,19 +65,19 @@
 	return starts, refused
 }
 
-func (f *full) end(id string) {
+func (f *fullAgent) end(id string) {
 	ref := agent.TaskRef{Contract: "c", Job: f.home + "-0." + id}
 	f.agent.TaskEnded(f.now, ref, &pb.TaskResult{Outcome: pb.Outcome_OUTCOME_COMPLETE})
 }
 
 func TestQueueByClass(t *testing.T) {
-	f := newFull(t)
+	f := newFullAgent(t)
 	f.step(&pb.EntryFrame{Starts: []*pb.StartBatch{
 		f.start("bulk", pb.Class_CLASS_BULK), f.start("normal", pb.Class_CLASS_NORMAL),
-		f.start("urgent", pb.Class_CLASS_URGENT), f.start("late", pb.Class_CLASS_URGENT),
+		f.start("urgent", pb.Class_CLASS_URGENT), f.start("excess", pb.Class_CLASS_URGENT),
 	}})
 	order, refused := f.ready()
-	if diff := cmp.Diff(map[string]string{"late": job.RefusedNoSlot}, refused); diff != "" {
+	if diff := cmp.Diff(map[string]string{"excess": job.RefusedNoSlot}, refused); diff != "" {
 		t.Errorf("refused: %s", diff)
 	}
 	for _, id := range []string{"running", "urgent", "normal"} {
@@ -89,31 +90,30 @@
 	}
 }
 
-// A task waits at an agent for a slot when nobody may start it any more: its
-// caller has cancelled it, another entry has fenced its job, its deadline has
-// passed, or the agent leaves. A caller is told "not run", so it must never start
-// once the slot is free.
+// A queued task is refused because it is revoked or fenced, its deadline passes or
+// the agent is leaving. Its caller gets "not run", so the task must not start when
+// the slot becomes free.
 func TestQueuedTaskNeverStartsOnceRefused(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(*full)
+		do   func(*fullAgent)
 		want string
 	}{
-		{"revoked", func(f *full) {
+		{"revoked", func(f *fullAgent) {
 			f.step(&pb.EntryFrame{Revokes: []*pb.Revoke{{Job: f.name("q"), Tasks: []uint32{0}}}})
 		}, job.RefusedRevoked},
-		{"fenced", func(f *full) {
+		{"fenced", func(f *fullAgent) {
 			f.step(&pb.EntryFrame{Fences: []*pb.Fence{{Job: f.name("q"), HomeEnded: true}}})
 		}, job.RefusedFenced},
-		{"late", func(f *full) {
+		{"expired", func(f *fullAgent) {
 			f.now = f.now.Add(time.Second)
 			f.end("running")
 		}, job.RefusedRevoked},
-		{"leaving", func(f *full) { f.agent.Leave(f.now) }, job.RefusedLeaving},
+		{"leaving", func(f *fullAgent) { f.agent.Leave(f.now) }, job.RefusedLeaving},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFull(t)
+			f := newFullAgent(t)
 			f.step(&pb.EntryFrame{Starts: []*pb.StartBatch{f.start("q", pb.Class_CLASS_NORMAL)}})
 			if starts, refused := f.ready(); len(starts) != 1 || len(refused) != 0 {
 				t.Fatalf("before: starts %v, refused %v", starts, refused)
--- a/dispatch/agent/records.go
+++ b/dispatch/agent/records.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// retire queues a job for eviction once nobody waits for it: every result was
-// acknowledged, or every task has ended and the home is gone.
-func (a *Agent) retire(rec *record) {
-	if rec.listed || rec.running > 0 || !a.unwanted(rec) {
+// queueEviction queues a job for eviction if no entry waits for it: all tasks have
+// ended, and every result is acknowledged or the home is presumed dead.
+func (a *Agent) queueEviction(rec *record) {
+	if rec.evictionQueued || rec.active > 0 || !a.evictable(rec) {
 		return
 	}
-	rec.listed = true
-	a.ended = append(a.ended, rec)
+	rec.evictionQueued = true
+	a.evictionQueue = append(a.evictionQueue, rec)
 }
 
-func (a *Agent) unwanted(rec *record) bool {
+func (a *Agent) evictable(rec *record) bool {
 	if rec.open == 0 {
 		return true
 	}
@@ -24,38 +24,39 @@
 	return home == nil || home.lost
 }
 
-// retireAll goes through the jobs of a home that has just been taken for gone.
-// Otherwise results that it will never acknowledge would fill the table for good.
-func (a *Agent) retireAll(home string) {
+// queueEvictionsOf queues the ended jobs of a home that is presumed dead for
+// eviction. Otherwise results that it will never acknowledge would occupy the table
+// indefinitely.
+func (a *Agent) queueEvictionsOf(home string) {
 	for _, rec := range a.sortedRecords(home) {
-		a.retire(rec)
+		a.queueEviction(rec)
 	}
 }
 
-// evict drops the oldest jobs that nobody waits for, while the agent holds more
-// than its bounds. They are kept that long for the case that the home dies before
-// it has answered its caller.
+// evict drops the oldest jobs that no entry waits for while the agent is at one of
+// its limits. Until then they are kept, since the home may fail before it has
+// answered its caller.
 func (a *Agent) evict() {
-	for len(a.ended) > 0 && (a.tasks >= a.opts.MaxRecords || a.resultBytes >= a.opts.MaxResultBytes) {
-		rec := a.ended[0]
-		a.ended = a.ended[1:]
+	for len(a.evictionQueue) > 0 && (a.tasks >= a.opts.MaxRecords || a.resultBytes >= a.opts.MaxResultBytes) {
+		rec := a.evictionQueue[0]
+		a.evictionQueue = a.evictionQueue[1:]
 		if a.jobs[rec.name] != rec {
 			continue
 		}
-		if rec.running > 0 || !a.unwanted(rec) {
-			rec.listed = false
+		if rec.active > 0 || !a.evictable(rec) {
+			rec.evictionQueued = false
 			continue
 		}
-		a.evicted.add(rec.home)
+		a.evictedHomes.add(rec.home)
 		if rec.open > 0 {
-			a.unacked.add(rec.home)
+			a.unackedHomes.add(rec.home)
 		}
-		a.dropped++
-		a.forget(rec)
+		a.evictions++
+		a.removeRecord(rec)
 	}
 }
 
-func (a *Agent) forget(rec *record) {
+func (a *Agent) removeRecord(rec *record) {
 	for _, t := range rec.tasks {
 		a.tasks--
 		a.resultBytes -= len(t.result.GetBody())
@@ -63,8 +64,8 @@
 	delete(a.jobs, rec.name)
 }
 
-// forgetPeers drops entries that are gone and have no job here.
-func (a *Agent) forgetPeers() {
+// removeLostPeers removes lost entries that have no job here.
+func (a *Agent) removeLostPeers() {
 	homes := make(map[string]bool)
 	for _, rec := range a.jobs {
 		homes[rec.home] = true
@@ -90,7 +91,7 @@
 	return out
 }
 
-// sortedRecords lists the jobs of a home in a repeatable order.
+// sortedRecords returns the jobs of a home in a deterministic order.
 func (a *Agent) sortedRecords(home string) []*record {
 	var out []*record
 	for _, rec := range a.jobs {
@@ -102,8 +103,8 @@
 	return out
 }
 
-// homeSet is a set of home incarnations with a bound: beyond it, every home
-// counts as a member, which errs to the safe side.
+// homeSet is a bounded set of home incarnations. Once more homes than the bound
+// were added, it reports every home as a member, which is the safe error.
 type homeSet struct {
 	homes map[string]bool
 	all   bool
@@ -113,7 +114,7 @@
 	if s.homes == nil {
 		s.homes = make(map[string]bool)
 	}
-	if len(s.homes) >= maxHomes {
+	if len(s.homes) >= maxEvictedHomes {
 		s.all = true
 		return
 	}
--- a/dispatch/agent/status.go
+++ b/dispatch/agent/status.go
@@ -2,17 +2,19 @@
 
 import pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 
-// Counts sums up an agent's state.
+// Counts summarizes the state of an agent.
 type Counts struct {
-	// Tasks running, and results that their home has not acknowledged.
+	// Running is the number of running tasks, Held the number of results that their
+	// home has not acknowledged.
 	Running, Held int
-	// Links in use.
+	// LinksUp is the number of links in use.
 	LinksUp int
 }
 
-// Counts returns the sums of now; its cost grows with the number of records.
+// Counts returns the current counts. It takes time proportional to the number of
+// records.
 func (a *Agent) Counts() Counts {
-	c := Counts{Running: a.running, LinksUp: a.links()}
+	c := Counts{Running: a.running, LinksUp: a.linksUp()}
 	for _, rec := range a.jobs {
 		for _, t := range rec.tasks {
 			if t.result != nil && !t.acked {
@@ -23,7 +25,7 @@
 	return c
 }
 
-func (a *Agent) links() int {
+func (a *Agent) linksUp() int {
 	n := 0
 	for _, p := range a.peers {
 		if p.session.IsUp() {
@@ -33,10 +35,10 @@
 	return n
 }
 
-// Load returns the load of now, as entries get it.
+// Load returns the current load as it is reported to entries.
 func (a *Agent) Load() *pb.AgentLoad { return a.load() }
 
-// Peers returns the entries that have had a link, by arrival.
+// Peers returns the entries that have or had a link, by arrival.
 func (a *Agent) Peers() []*pb.Peer {
 	list := make([]*pb.Peer, 0, len(a.peers))
 	for _, p := range a.peers {
--- a/dispatch/agent/tasks.go
+++ b/dispatch/agent/tasks.go
@@ -10,44 +10,44 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// notRun reports whether the endpoint has proven that the task never began.
+// notRun reports whether the task is known never to have started.
 func (t *task) notRun() bool {
 	return t.result != nil && t.result.Outcome == pb.Outcome_OUTCOME_NOT_RUN
 }
 
-// start accepts or refuses each task of a batch.
-func (a *Agent) start(now time.Time, p *peer, b *pb.StartBatch) {
+// startBatch accepts or refuses each task of a batch.
+func (a *Agent) startBatch(now time.Time, p *peer, b *pb.StartBatch) {
 	for _, ts := range b.Tasks {
 		units := a.units(ts.MemoryBytes)
 		if rec := a.jobs[b.Job]; rec != nil {
 			if t := rec.tasks[ts.Task]; t != nil && t.notRun() && !b.Resent {
-				// The home has taken in that the task did not run, and tries it again.
-				a.dropTask(t)
+				// The home has received that the task did not run and retries it.
+				a.removeTask(t)
 			} else if t != nil {
-				// A start sent again on a new link after the first arrived: running it
-				// twice is what this record prevents. The result, if any, was put on the
-				// new link when it came up.
-				a.recordTask(now, event.TaskDuplicate, p, refOf(b.Job, ts.Task), "started before")
+				// The start was resent on a new link although the first one had arrived.
+				// This record keeps the task from running twice. The result, if any, was
+				// queued on the new link when the link came up.
+				a.recordTask(now, event.TaskDuplicate, p, taskRef(b.Job, ts.Task), "started before")
 				a.slots.Unused(p.hello.Incarnation, units)
 				continue
 			}
 		}
-		if b.Resent && a.unacked.has(p.hello.Incarnation) {
-			// The home was out of reach for so long that results were dropped which it
-			// had not acknowledged. This start may belong to one of them; running it
-			// could be the second time.
+		if b.Resent && a.unackedHomes.has(p.hello.Incarnation) {
+			// The home was unreachable for so long that results which it had not
+			// acknowledged were evicted. This start may belong to one of them, and the
+			// task could run a second time.
 			a.slots.Unused(p.hello.Incarnation, units)
-			a.addNews(p, b.Job, recordDropped(ts.Task))
+			a.addResult(p, b.Job, unknownResult(ts.Task))
 			continue
 		}
-		verdict, why := limit.Refuse, a.refuse(p, b, units)
-		if why == "" {
-			verdict, why = a.slots.Start(p.hello.Incarnation, units), job.RefusedNoSlot
+		verdict, reason := limit.Refuse, a.refusalReason(p, b, units)
+		if reason == "" {
+			verdict, reason = a.slots.Start(p.hello.Incarnation, units), job.RefusedNoSlot
 		}
 		if verdict == limit.Refuse {
-			a.recordTask(now, event.TaskRefused, p, refOf(b.Job, ts.Task), why)
+			a.recordTask(now, event.TaskRefused, p, taskRef(b.Job, ts.Task), reason)
 			a.slots.Unused(p.hello.Incarnation, units)
-			a.addNews(p, b.Job, refusal(ts.Task, why))
+			a.addResult(p, b.Job, refusal(ts.Task, reason))
 			continue
 		}
 		a.accept(now, p, b, ts, units, verdict)
@@ -58,20 +58,20 @@
 	return place.Units(memory, a.opts.Hello.MemoryBytes, int(a.opts.Hello.Slots))
 }
 
-func refOf(name string, index uint32) TaskRef {
+func taskRef(name string, index uint32) TaskRef {
 	contract, id := job.SplitName(name)
 	return TaskRef{Contract: contract, Job: id, Task: index}
 }
 
-func recordDropped(index uint32) *pb.TaskResult {
+func unknownResult(index uint32) *pb.TaskResult {
 	return &pb.TaskResult{Task: index, Outcome: pb.Outcome_OUTCOME_UNKNOWN, Error: "the agent has dropped its record of the task"}
 }
 
-func refusal(index uint32, why string) *pb.TaskResult {
-	return &pb.TaskResult{Task: index, Outcome: pb.Outcome_OUTCOME_NOT_RUN, Error: why}
+func refusal(index uint32, reason string) *pb.TaskResult {
+	return &pb.TaskResult{Task: index, Outcome: pb.Outcome_OUTCOME_NOT_RUN, Error: reason}
 }
 
-func (a *Agent) refuse(p *peer, b *pb.StartBatch, units int) string {
+func (a *Agent) refusalReason(p *peer, b *pb.StartBatch, units int) string {
 	_, bare := job.SplitName(b.Job)
 	id, err := job.Parse(bare)
 	switch {
@@ -89,14 +89,14 @@
 	return ""
 }
 
-// full reports whether the agent would have to forget something that an entry
-// has not acknowledged in order to take one more task.
+// full reports whether the agent can accept one more task only by dropping a record
+// that an entry still waits for.
 func (a *Agent) full() bool {
 	a.evict()
 	return a.tasks >= a.opts.MaxRecords || a.resultBytes >= a.opts.MaxResultBytes
 }
 
-// accept keeps a record of a task and starts it, or puts it in the queue.
+// accept records a task and starts it, or queues it until a slot is free.
 func (a *Agent) accept(now time.Time, p *peer, b *pb.StartBatch, ts *pb.TaskStart, units int, verdict limit.Verdict) {
 	rec := a.jobs[b.Job]
 	if rec == nil {
@@ -110,7 +110,7 @@
 	t := &task{rec: rec, index: ts.Task, memory: ts.MemoryBytes, units: units}
 	rec.tasks[ts.Task] = t
 	rec.open++
-	rec.running++
+	rec.active++
 	a.tasks++
 	r := Run{
 		TaskRef:  rec.ref(ts.Task),
@@ -119,7 +119,7 @@
 		Deadline: now.Add(time.Duration(b.TimeoutMs) * time.Millisecond),
 	}
 	if verdict == limit.Queue {
-		a.enqueue(queued{t, r, b.Class})
+		a.enqueue(queuedTask{t, r, b.Class})
 		return
 	}
 	a.run(now, p, t, r)
@@ -128,27 +128,27 @@
 func (a *Agent) run(now time.Time, p *peer, t *task, r Run) {
 	a.recordTask(now, event.TaskStarted, p, r.TaskRef, "")
 	a.running++
-	a.reserve(t.rec.contract, 1, int64(t.memory))
+	a.addLoad(t.rec.contract, 1, int64(t.memory))
 	a.ready.Run = append(a.ready.Run, r)
 }
 
-func (a *Agent) reserve(contract string, tasks int, memory int64) {
-	a.reserved = uint64(int64(a.reserved) + memory)
-	l := a.loads[contract]
+func (a *Agent) addLoad(contract string, tasks int, memory int64) {
+	a.reservedMemory = uint64(int64(a.reservedMemory) + memory)
+	l := a.contractLoads[contract]
 	if l == nil {
 		l = &pb.ContractLoad{Contract: contract}
-		a.loads[contract] = l
+		a.contractLoads[contract] = l
 	}
 	l.Running = uint32(int(l.Running) + tasks)
 	l.MemoryBytes = uint64(int64(l.MemoryBytes) + memory)
 	if l.Running == 0 {
-		delete(a.loads, contract)
+		delete(a.contractLoads, contract)
 	}
 }
 
-// TaskEnded takes in the end of a task that Ready.Run asked for. The result's
-// outcome is complete, failed, not run (the endpoint proved it never began) or
-// unknown.
+// TaskEnded handles the end of a task from Ready.Run. The outcome of the result is
+// complete, failed, not run (the endpoint has proved that the task never started)
+// or unknown. The agent sets res.Task and keeps res.
 func (a *Agent) TaskEnded(now time.Time, ref TaskRef, res *pb.TaskResult) {
 	rec := a.jobs[job.Name(ref.Contract, ref.Job)]
 	if rec == nil {
@@ -160,31 +160,32 @@
 	}
 	res.Task = ref.Task
 	t.result = res
-	rec.running--
+	rec.active--
 	a.recordEnd(now, rec, res)
 	a.running--
 	a.slots.End(rec.home, t.units)
 	a.resultBytes += len(res.Body)
-	a.reserve(rec.contract, -1, -int64(t.memory))
-	a.runQueued(now)
+	a.addLoad(rec.contract, -1, -int64(t.memory))
+	a.startQueued(now)
 	home := a.homeOf(rec)
 	if home != nil && home.session.IsUp() {
-		a.addNews(home, rec.name, res)
-		a.regrant(home, t.units)
+		a.addResult(home, rec.name, res)
+		a.grantAgain(home, t.units)
 	}
 	for _, w := range rec.watchers {
 		if p := a.peer(w); p != nil && p.session.IsUp() {
-			a.addNews(p, rec.name, res)
+			a.addResult(p, rec.name, res)
 		}
 	}
-	a.retire(rec)
+	a.queueEviction(rec)
 	a.balance(now)
 }
 
-// dropTask forgets one task that has not run. Until its home has acknowledged
-// that, or starts it anew, the record stays: a start that was sent again before
-// the home learned of the end would run here while the home sends it elsewhere.
-func (a *Agent) dropTask(t *task) {
+// removeTask removes the record of a task that has not run. It is called only once
+// the home has acknowledged that result or sent a new start. Before that, a start
+// that the home resent without knowing the result would run here while the home
+// sends the task elsewhere.
+func (a *Agent) removeTask(t *task) {
 	if !t.acked {
 		t.acked = true
 		t.rec.open--
@@ -196,7 +197,7 @@
 		delete(a.jobs, t.rec.name)
 		return
 	}
-	a.retire(t.rec)
+	a.queueEviction(t.rec)
 }
 
 func (a *Agent) homeOf(rec *record) *peer { return a.peer(rec.home) }
@@ -209,30 +210,31 @@
 			t = rec.tasks[index]
 		}
 		switch {
-		case t == nil && a.unacked.has(p.hello.Incarnation):
-			// It may be one of those whose record was dropped: "not run" can't be said.
-			a.addNews(p, r.Job, recordDropped(index))
+		case t == nil && a.unackedHomes.has(p.hello.Incarnation):
+			// The task may be one whose record was evicted, so it can't be reported as
+			// not run.
+			a.addResult(p, r.Job, unknownResult(index))
 		case t == nil:
-			// The link is in order and older links are dropped: a start for this task
-			// can no longer arrive before the entry has seen this refusal.
-			a.recordTask(now, event.TaskRevoked, p, refOf(r.Job, index), "before it came")
-			a.addNews(p, r.Job, refusal(index, job.RefusedRevoked))
+			// A link delivers frames in order and older links are closed, so a start of
+			// this task can't arrive before the entry has received this refusal.
+			a.recordTask(now, event.TaskRevoked, p, taskRef(r.Job, index), "before it arrived")
+			a.addResult(p, r.Job, refusal(index, job.RefusedRevoked))
 		case t.queued:
 			a.recordTask(now, event.TaskRevoked, p, rec.ref(index), "before it started")
-			a.unqueue(t, job.RefusedRevoked)
+			a.refuseQueued(t, job.RefusedRevoked)
 		case t.result == nil && !t.stopping:
 			t.stopping = true
-			a.recordTask(now, event.TaskRevoked, p, rec.ref(index), "while it runs")
+			a.recordTask(now, event.TaskRevoked, p, rec.ref(index), "while running")
 			a.ready.Stop = append(a.ready.Stop, rec.ref(index))
 		}
 	}
 }
 
-// finished drops a job that its home has answered.
+// finished removes a job that its home has answered.
 func (a *Agent) finished(id string) {
 	rec := a.jobs[id]
 	if rec == nil || rec.open > 0 {
 		return
 	}
-	a.forget(rec)
+	a.removeRecord(rec)
 }
