--- a/dispatch/agent/links.go
+++ b/dispatch/agent/links.go
@@ -180,7 +180,7 @@
 	}
 	p.pending = pb.AgentFrame{}
 	p.dirty = false
-	if now.Sub(p.loadSentAt) >= a.opts.LoadEvery {
+	if now.Sub(p.loadSentAt) >= a.opts.LoadInterval {
 		f.Load = a.load()
 		p.loadSentAt = now
 	}
--- a/dispatch/agent/options.go
+++ b/dispatch/agent/options.go
@@ -37,8 +37,8 @@
 	// MaxQueued bounds the units of each entry that wait for a slot, unless it is
 	// negative or Divided is set.
 	MaxQueued int
-	// LoadEvery is the minimum time between load reports on one link.
-	LoadEvery time.Duration
+	// LoadInterval is the minimum time between load reports on one link.
+	LoadInterval time.Duration
 	// Events records events for the time line and stamps messages. It may be nil.
 	Events *event.Ring
 }
@@ -50,7 +50,7 @@
 	DefaultFenceTTL       = 30 * time.Minute
 	DefaultMaxFences      = 50_000
 	DefaultPeerLostAfter  = 15 * time.Second
-	DefaultLoadEvery      = time.Second
+	DefaultLoadInterval   = time.Second
 	DefaultMaxQueued      = 1
 	// maxEvictedHomes bounds each set of the homes of evicted records.
 	maxEvictedHomes = 4096
@@ -74,7 +74,7 @@
 	o.MaxQueued = cmp.Or(o.MaxQueued, DefaultMaxQueued)
 	o.PeerLostAfter = cmp.Or(o.PeerLostAfter, DefaultPeerLostAfter)
 	o.Damping = cmp.Or(o.Damping, DefaultDamping)
-	o.LoadEvery = cmp.Or(o.LoadEvery, DefaultLoadEvery)
+	o.LoadInterval = cmp.Or(o.LoadInterval, DefaultLoadInterval)
 	return o
 }
 
--- a/dispatch/member/doc.go
+++ b/dispatch/member/doc.go
@@ -1,16 +1,16 @@
-// Package member decides which entries live, from the messages that they
+// Package member determines the live entries from the messages that entries
 // exchange. It does no I/O; callers serialize all calls.
 //
-// The store and other entries only say whom to talk to: a name in the store, or
-// on another's list, makes a candidate. A candidate becomes a member when it has
-// answered itself. A member is dropped when it says that it has left, when
-// another process answers at its address, or when nothing was heard of it for
-// Options.DeadAfter over at least Options.DeadFailures failed exchanges. That a
-// lease has lapsed in the store drops nobody: in an outage of the store no lease
-// can be renewed, and a process that was paused lives on. It only makes the next
-// exchange come at once.
+// The store and other entries only provide candidates. A candidate becomes a member
+// once it has answered itself. A member is dropped when it reports that it has
+// ended, when another process answers at its address, when it is leaving and an
+// exchange with it fails, or when nothing was received from it for
+// Options.DeadAfter and at least Options.DeadFailures exchanges have failed. A
+// lapsed lease in the store drops no member, since no lease can be renewed during an
+// outage of the store and a process may resume after a pause; it only triggers an
+// immediate exchange.
 //
-// To drop a living entry is safe and costly: its jobs are then answered with
-// "outcome unknown" when a caller asks elsewhere. So a member that keeps coming
-// and going has to be heard for longer each time before it counts again.
+// Dropping a live entry is safe but costly: its jobs are then answered with "outcome
+// unknown" if a caller asks another entry. A flapping member therefore has to be
+// reachable for longer each time before it becomes a member again.
 package member
--- a/dispatch/member/set.go
+++ b/dispatch/member/set.go
@@ -9,134 +9,138 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Options of a Set. The zero value of a field stands for its default.
+// Options configures a Set. The zero value of a field means its default.
 type Options struct {
-	// Exchange is the time between exchanges with a member. One side of a pair
-	// asks, and the answer counts for both.
+	// Exchange is the interval between exchanges with a member. One side of a pair
+	// sends the requests, and the response counts as proof of life for both.
 	Exchange time.Duration
-	// DeadAfter and DeadFailures bound when a member is dropped.
+	// A member is dropped if nothing was received from it for DeadAfter and at
+	// least DeadFailures exchanges in a row have failed.
 	DeadAfter    time.Duration
 	DeadFailures int
-	// GoneAfter is when an entry that is not heard may be taken to start nothing
-	// any more; see Starters. It must exceed DeadAfter by what clocks and pauses
-	// may differ.
+	// GoneAfter is the time without messages from an entry after which it may be
+	// assumed to start no more tasks; see Starters. It must exceed DeadAfter by more
+	// than clock differences and process pauses can account for.
 	GoneAfter time.Duration
-	// LeaseTTL is that of the announcements in the store.
+	// LeaseTTL is the TTL of the announcements in the store.
 	LeaseTTL time.Duration
-	// RetryDead is the time between attempts at a candidate that doesn't answer.
-	RetryDead time.Duration
-	// Forget is when a candidate that doesn't answer is given up, unless the
-	// store or a member names it still.
-	Forget time.Duration
-	// Damping is how long a member that was dropped has to be heard before it
-	// counts again; it doubles with each time up to MaxDamping, and starts anew
-	// after being a member for Steady.
-	Damping, MaxDamping, Steady time.Duration
-	// Join is the time between questions at the addresses to join through while
-	// the store can't be reached.
-	Join time.Duration
+	// CandidateRetryInterval is the interval between exchanges with a candidate that
+	// doesn't answer.
+	CandidateRetryInterval time.Duration
+	// ForgetAfter is the time after which a candidate that doesn't answer is removed,
+	// unless the store or a member still lists it.
+	ForgetAfter time.Duration
+	// Damping is how long a member that was dropped has to be reachable before it
+	// becomes a member again. It doubles with each drop up to MaxDamping, and is
+	// reset once the entry has been a member for StableAfter.
+	Damping, MaxDamping, StableAfter time.Duration
+	// JoinInterval is the interval between requests to the join addresses while the
+	// store is unreachable.
+	JoinInterval time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultExchange     = 2 * time.Second
-	DefaultDeadAfter    = 8 * time.Second
-	DefaultDeadFailures = 3
-	DefaultGoneAfter    = 16 * time.Second
-	DefaultLeaseTTL     = 30 * time.Second
-	DefaultRetryDead    = 5 * time.Second
-	DefaultForget       = 10 * time.Minute
-	DefaultDamping      = 2 * time.Second
-	DefaultMaxDamping   = 30 * time.Second
-	DefaultSteady       = time.Minute
-	DefaultJoin         = 10 * time.Second
-	// joinAlone is the time between questions while no member is known.
-	joinAlone = time.Second
-	// failureWait is the time between attempts at a member that does not answer.
-	failureWait = time.Second
+	DefaultExchangeInterval       = 2 * time.Second
+	DefaultDeadAfter              = 8 * time.Second
+	DefaultDeadFailures           = 3
+	DefaultGoneAfter              = 16 * time.Second
+	DefaultLeaseTTL               = 30 * time.Second
+	DefaultCandidateRetryInterval = 5 * time.Second
+	DefaultForgetAfter            = 10 * time.Minute
+	DefaultDamping                = 2 * time.Second
+	DefaultMaxDamping             = 30 * time.Second
+	DefaultStableAfter            = time.Minute
+	DefaultJoinInterval           = 10 * time.Second
+	// joinIntervalAlone replaces Options.JoinInterval while there are no other members.
+	joinIntervalAlone = time.Second
+	// memberRetryInterval is the interval between exchanges with a member that does
+	// not answer.
+	memberRetryInterval = time.Second
 )
 
 func (o Options) withDefaults() Options {
-	o.Exchange = cmp.Or(o.Exchange, DefaultExchange)
+	o.Exchange = cmp.Or(o.Exchange, DefaultExchangeInterval)
 	o.DeadAfter = cmp.Or(o.DeadAfter, DefaultDeadAfter)
 	o.GoneAfter = cmp.Or(o.GoneAfter, DefaultGoneAfter)
 	o.LeaseTTL = cmp.Or(o.LeaseTTL, DefaultLeaseTTL)
-	o.RetryDead = cmp.Or(o.RetryDead, DefaultRetryDead)
-	o.Forget = cmp.Or(o.Forget, DefaultForget)
+	o.CandidateRetryInterval = cmp.Or(o.CandidateRetryInterval, DefaultCandidateRetryInterval)
+	o.ForgetAfter = cmp.Or(o.ForgetAfter, DefaultForgetAfter)
 	o.Damping = cmp.Or(o.Damping, DefaultDamping)
 	o.MaxDamping = cmp.Or(o.MaxDamping, DefaultMaxDamping)
-	o.Steady = cmp.Or(o.Steady, DefaultSteady)
-	o.Join = cmp.Or(o.Join, DefaultJoin)
+	o.StableAfter = cmp.Or(o.StableAfter, DefaultStableAfter)
+	o.JoinInterval = cmp.Or(o.JoinInterval, DefaultJoinInterval)
 	o.DeadFailures = cmp.Or(o.DeadFailures, DefaultDeadFailures)
 	return o
 }
 
-// Ask is an exchange that the driver has to make. It reports its end with Heard
-// or Failed. Incarnation is empty for a question at an address to join through.
+// Ask is an exchange that the driver has to perform. The driver reports the result
+// with Heard or Failed. Incarnation is empty for a request to a join address.
 type Ask struct {
 	Address     string
 	Incarnation string
-	// Covered is the configuration revision that the other has, as far as known.
+	// Covered is the last known configuration revision of the other entry.
 	Covered uint64
 }
 
-// entry is what is known of one other entry process.
+// entry is the state of one other entry process.
 type entry struct {
-	peer    *pb.Peer
-	covered uint64
-
-	asking   bool
-	nextAsk  time.Time
-	heard    time.Time // last proof of life; zero: none yet
-	failures int
-	since    time.Time // last named by the store or a member
-	first    time.Time // first known
-	gone     bool      // taken to start nothing any more; see Starters
-
-	member   bool
-	joinedAt time.Time // when it last became a member
-	upSince  time.Time // heard without a gap since then
-	flaps    int
-	stored   bool // named in the store
+	peer           *pb.Peer
+	configRevision uint64 // last known configuration revision
+
+	exchanging     bool // an exchange is in progress
+	nextExchange   time.Time
+	lastReceived   time.Time // last message received; zero: none
+	failures       int       // failed exchanges in a row
+	lastListed     time.Time // last listed by the store or an entry, or dropped as a member
+	firstListed    time.Time // first listed
+	assumedStopped bool      // assumed to start no more tasks; see Starters
+
+	member         bool
+	joinedAt       time.Time // when it last became a member
+	reachableSince time.Time // start of the current period without a gap of DeadAfter
+	flaps          int       // drops as a member since it was last stable
+	inStore        bool      // listed in the store
 }
 
-// Set is the entries that this one knows.
+// Set holds the other entries known to this entry.
 type Set struct {
 	options Options
 	self    *pb.Peer
 	random  func() float64
 
 	entries map[string]*entry // by incarnation
-	// ended are incarnations that are proven to have ended; naming them again
-	// makes no candidate.
-	ended      map[string]time.Time
-	join       []string
-	joinAt     time.Time
-	joinNext   int
-	storeReach bool
-	reachedAt  time.Time // since when the store can be reached
-	lostAt     time.Time // since when it can't be reached
-	leaseUntil time.Time // until when this entry's own lease is certainly in force
-
-	peers []*pb.Peer // members, rebuilt on change
+	// ended holds the incarnations that are proven to have ended, with the time of
+	// the proof. They do not become candidates again.
+	ended                 map[string]time.Time
+	joinAddresses         []string
+	nextJoin              time.Time
+	joinIndex             int
+	storeReachable        bool
+	storeReachableSince   time.Time // start of the current period in which the store is reachable
+	storeUnreachableSince time.Time // start of the current period in which it is not
+	leaseUntil            time.Time // this entry's own lease is certainly in force until then
+
+	members []*pb.Peer // replaced on change
 }
 
-// New returns a set without other entries. Join are the addresses to join
-// through while the store can't be reached; random gives numbers in [0, 1).
-func New(self *pb.Peer, join []string, random func() float64, o Options) *Set {
+// New returns a set without other entries. JoinAddresses holds the addresses of
+// entries, or of a load balancer, to join through while the store is unreachable.
+// Random returns numbers in [0, 1).
+func New(self *pb.Peer, joinAddresses []string, random func() float64, o Options) *Set {
 	return &Set{
-		options: o.withDefaults(), self: self, random: random, join: join,
+		options: o.withDefaults(), self: self, random: random, joinAddresses: joinAddresses,
 		entries: map[string]*entry{}, ended: map[string]time.Time{},
 	}
 }
 
-// Members returns the other entries that live. The slice is replaced, never
-// changed, and may be handed on.
-func (s *Set) Members() []*pb.Peer { return s.peers }
+// Members returns the other live entries. The slice is never modified and may be
+// shared.
+func (s *Set) Members() []*pb.Peer { return s.members }
 
-// Find returns an entry process, member or not, that may be reached; nil when it
-// is not known or proven to have ended. To ask a process that has gone costs one
-// failed call, so damping and silence don't matter here.
+// Find returns an entry process, whether it is a member or not, or nil if it is
+// unknown or proven to have ended. Damping and timeouts are ignored, since a call to
+// a process that has ended costs only one failure.
 func (s *Set) Find(incarnation string) *pb.Peer {
 	if e := s.entries[incarnation]; e != nil {
 		return e.peer
@@ -144,151 +148,154 @@
 	return nil
 }
 
-// Store tells whether the store can be reached.
-func (s *Set) Store(now time.Time, reached bool) {
-	if s.storeReach && !reached {
-		s.lostAt = now
-		s.joinAt = now.Add(s.spread(s.options.Join))
+// Store records whether the store is reachable.
+func (s *Set) Store(now time.Time, reachable bool) {
+	if s.storeReachable && !reachable {
+		s.storeUnreachableSince = now
+		s.nextJoin = now.Add(s.jitter(s.options.JoinInterval))
 	}
-	if reached && !s.storeReach {
-		s.reachedAt = now
+	if reachable && !s.storeReachable {
+		s.storeReachableSince = now
 	}
-	s.storeReach = reached
+	s.storeReachable = reachable
 }
 
-// Listed takes in all entries that the store names.
+// Listed handles the complete list of entries in the store.
 func (s *Set) Listed(now time.Time, peers []*pb.Peer) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, p := range peers {
-		named[p.Incarnation] = true
+		listed[p.Incarnation] = true
 		s.Announced(now, p)
 	}
 	for incarnation, e := range s.entries {
-		if e.stored && !named[incarnation] {
+		if e.inStore && !listed[incarnation] {
 			s.Withdrawn(now, incarnation)
 		}
 	}
 }
 
-// Announced takes in that the store names an entry.
+// Announced handles the announcement of an entry in the store.
 func (s *Set) Announced(now time.Time, p *pb.Peer) {
 	if e := s.candidate(now, p); e != nil {
-		e.stored = true
+		e.inStore = true
 	}
 }
 
-// Withdrawn takes in that the store no longer names an entry: its lease was
-// revoked or has lapsed. The entry is asked at once.
+// Withdrawn handles the removal of an entry from the store: its lease was revoked or
+// has lapsed. If the entry is a member, it triggers an immediate exchange.
 func (s *Set) Withdrawn(now time.Time, incarnation string) {
-	if e := s.entries[incarnation]; e != nil && e.stored {
-		e.stored = false
+	if e := s.entries[incarnation]; e != nil && e.inStore {
+		e.inStore = false
 		if e.member {
-			e.nextAsk = now
+			e.nextExchange = now
 		}
 	}
 }
 
-// candidate notes an entry to talk to; nil for this one and those that have ended.
+// candidate adds an entry, or records that it is still listed. It returns nil for
+// this entry and for entries that have ended.
 func (s *Set) candidate(now time.Time, p *pb.Peer) *entry {
 	if p.GetIncarnation() == "" || p.Address == "" || p.Incarnation == s.self.Incarnation {
 		return nil
 	}
-	if _, over := s.ended[p.Incarnation]; over {
+	if _, hasEnded := s.ended[p.Incarnation]; hasEnded {
 		return nil
 	}
 	e := s.entries[p.Incarnation]
 	if e == nil {
-		e = &entry{peer: p, nextAsk: now, first: now}
+		e = &entry{peer: p, nextExchange: now, firstListed: now}
 		s.entries[p.Incarnation] = e
 	}
-	e.since = now
+	e.lastListed = now
 	return e
 }
 
-// Heard takes in what an entry said itself, asked or of its own accord. Asked is
-// the incarnation that the question was meant for, empty for none.
+// Heard handles the state that another entry has sent, in its request or in answer
+// to one. Asked is the incarnation that the request was sent to, or empty.
 func (s *Set) Heard(now time.Time, asked string, state *pb.PeerState) {
-	said := state.GetSelf()
-	if said.GetIncarnation() == "" {
+	sender := state.GetSelf()
+	if sender.GetIncarnation() == "" {
 		s.Failed(now, asked)
 		return
 	}
-	if asked != "" && asked != said.Incarnation {
-		// Another process has the address: the one meant has ended.
-		s.end(now, asked)
+	if asked != "" && asked != sender.Incarnation {
+		// Another process has the address, so the expected one has ended.
+		s.markEnded(now, asked)
 	}
 	for _, p := range state.Peers {
 		s.candidate(now, p)
 	}
-	// A peer that answers under this process's name but another incarnation is no
-	// concern here: incarnations are what tells processes apart.
-	e := s.candidate(now, said)
+	// The name of the peer is not checked: processes are identified by their
+	// incarnation alone.
+	e := s.candidate(now, sender)
 	if e == nil {
 		return
 	}
-	if said.Ended {
-		s.end(now, said.Incarnation)
+	if sender.Ended {
+		s.markEnded(now, sender.Incarnation)
 		return
 	}
-	if e.upSince.IsZero() || now.Sub(e.heard) >= s.options.DeadAfter {
-		e.upSince = now
+	if e.reachableSince.IsZero() || now.Sub(e.lastReceived) >= s.options.DeadAfter {
+		e.reachableSince = now
 	}
-	e.gone = false
-	changed := !proto.Equal(e.peer, said)
-	e.peer, e.covered, e.heard = said, state.ConfigRevision, now
-	e.asking, e.failures = false, 0
-	e.nextAsk = now.Add(s.interval(said))
+	e.assumedStopped = false
+	changed := !proto.Equal(e.peer, sender)
+	e.peer, e.configRevision, e.lastReceived = sender, state.ConfigRevision, now
+	e.exchanging, e.failures = false, 0
+	e.nextExchange = now.Add(s.exchangeInterval(sender))
 	s.promote(now, e)
 	if changed {
-		s.rebuild()
+		s.rebuildMembers()
 	}
 }
 
-// interval is shorter on the side of a pair that asks as a rule. The other side
-// asks when that one falls silent.
-func (s *Set) interval(other *pb.Peer) time.Duration {
+// exchangeInterval returns the time until the next exchange with an entry. It is
+// shorter on the side of a pair that normally sends the requests; the other side
+// takes over when that one stops.
+func (s *Set) exchangeInterval(other *pb.Peer) time.Duration {
 	if s.self.Incarnation < other.Incarnation {
 		return s.options.Exchange
 	}
-	return s.options.Exchange*3/2 + s.spread(s.options.Exchange/2)
+	return s.options.Exchange*3/2 + s.jitter(s.options.Exchange/2)
 }
 
-// spread keeps processes from asking in step.
-func (s *Set) spread(d time.Duration) time.Duration {
+// jitter returns a random duration between d/2 and d, so that processes don't send
+// their requests in lockstep.
+func (s *Set) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.random()*float64(d)/2)
 }
 
-// Failed takes in that an exchange found no answer.
+// Failed handles an exchange that got no response.
 func (s *Set) Failed(now time.Time, incarnation string) {
 	e := s.entries[incarnation]
 	if e == nil {
 		return
 	}
-	e.asking = false
+	e.exchanging = false
 	e.failures++
-	wait := failureWait
+	wait := memberRetryInterval
 	if !e.member {
-		wait = s.options.RetryDead
+		wait = s.options.CandidateRetryInterval
 	}
-	e.nextAsk = now.Add(s.spread(2 * wait))
+	e.nextExchange = now.Add(s.jitter(2 * wait))
 }
 
-// promote makes an entry a member once it has been heard for long enough.
+// promote makes an entry a member once it has been reachable for long enough.
 func (s *Set) promote(now time.Time, e *entry) {
 	if e.member {
-		if now.Sub(e.joinedAt) >= s.options.Steady {
+		if now.Sub(e.joinedAt) >= s.options.StableAfter {
 			e.flaps = 0
 		}
 		return
 	}
-	if now.Sub(e.upSince) < s.damping(e.flaps) {
+	if now.Sub(e.reachableSince) < s.dampingDelay(e.flaps) {
 		return
 	}
 	e.member, e.joinedAt = true, now
-	s.rebuild()
+	s.rebuildMembers()
 }
 
-func (s *Set) damping(flaps int) time.Duration {
+func (s *Set) dampingDelay(flaps int) time.Duration {
 	if flaps == 0 {
 		return 0
 	}
@@ -299,69 +306,73 @@
 	return min(d, s.options.MaxDamping)
 }
 
-// end forgets a process that is proven to have ended.
-func (s *Set) end(now time.Time, incarnation string) {
+// markEnded removes a process that is proven to have ended.
+func (s *Set) markEnded(now time.Time, incarnation string) {
 	s.ended[incarnation] = now
 	if e := s.entries[incarnation]; e != nil {
 		delete(s.entries, incarnation)
-		s.rebuild()
+		s.rebuildMembers()
 	}
 }
 
-// Tick returns the exchanges that are due; call it no later than Next says.
+// Tick returns the exchanges to perform now. Call it no later than the time that
+// Next returns.
 func (s *Set) Tick(now time.Time) []Ask {
-	var asks []Ask
+	var exchanges []Ask
 	for incarnation, e := range s.entries {
-		s.judge(now, e)
-		if !e.member && e.gone && !e.stored && now.Sub(e.since) >= s.options.Forget {
+		s.checkLiveness(now, e)
+		if !e.member && e.assumedStopped && !e.inStore && now.Sub(e.lastListed) >= s.options.ForgetAfter {
 			delete(s.entries, incarnation)
 			continue
 		}
-		if !e.asking && !now.Before(e.nextAsk) {
-			e.asking = true
-			asks = append(asks, Ask{Address: e.peer.Address, Incarnation: incarnation, Covered: e.covered})
+		if !e.exchanging && !now.Before(e.nextExchange) {
+			e.exchanging = true
+			exchanges = append(exchanges, Ask{Address: e.peer.Address, Incarnation: incarnation, Covered: e.configRevision})
 		}
 	}
 	for incarnation, at := range s.ended {
-		if now.Sub(at) >= s.options.Forget {
+		if now.Sub(at) >= s.options.ForgetAfter {
 			delete(s.ended, incarnation)
 		}
 	}
-	slices.SortFunc(asks, func(a, b Ask) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-	return append(asks, s.joining(now)...)
+	slices.SortFunc(exchanges, func(a, b Ask) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	return append(exchanges, s.joinRequests(now)...)
 }
 
-// judge drops a member that has gone silent.
-func (s *Set) judge(now time.Time, e *entry) {
-	silent := now.Sub(e.heard) >= s.options.DeadAfter && e.failures >= s.options.DeadFailures
-	gone := e.peer.Leaving && e.failures > 0
-	if !e.member || (!silent && !gone) {
+// checkLiveness drops a member that is unresponsive, or that is leaving and has
+// failed an exchange.
+func (s *Set) checkLiveness(now time.Time, e *entry) {
+	unresponsive := now.Sub(e.lastReceived) >= s.options.DeadAfter && e.failures >= s.options.DeadFailures
+	left := e.peer.Leaving && e.failures > 0
+	if !e.member || (!unresponsive && !left) {
 		return
 	}
 	e.member = false
 	e.flaps++
-	e.upSince = time.Time{}
-	e.since = now
-	s.rebuild()
+	e.reachableSince = time.Time{}
+	e.lastListed = now
+	s.rebuildMembers()
 }
 
-// joining asks at the next address to join through. A process that starts while
-// the store is down has no other way in; and two groups that started apart find
-// each other when the balancer happens to answer with the other.
-func (s *Set) joining(now time.Time) []Ask {
-	if s.storeReach || len(s.join) == 0 || now.Before(s.joinAt) {
+// joinRequests returns a request to the next join address, if one is due. A process
+// that starts while the store is down has no other way to join. Two groups that
+// started separately find each other when a load balancer routes a request to the
+// other group.
+func (s *Set) joinRequests(now time.Time) []Ask {
+	if s.storeReachable || len(s.joinAddresses) == 0 || now.Before(s.nextJoin) {
 		return nil
 	}
-	wait := s.options.Join
-	if len(s.peers) == 0 {
-		wait = joinAlone
+	wait := s.options.JoinInterval
+	if len(s.members) == 0 {
+		wait = joinIntervalAlone
 	}
-	s.joinAt = now.Add(s.spread(2 * wait))
-	s.joinNext++
-	return []Ask{{Address: s.join[s.joinNext%len(s.join)]}}
+	s.nextJoin = now.Add(s.jitter(2 * wait))
+	s.joinIndex++
+	return []Ask{{Address: s.joinAddresses[s.joinIndex%len(s.joinAddresses)]}}
 }
 
-// Next is when Tick is due; the zero time when nothing is.
+// Next returns the time of the next call of Tick, or the zero time if none is
+// needed.
 func (s *Set) Next() time.Time {
 	var next time.Time
 	earlier := func(t time.Time) {
@@ -370,17 +381,17 @@
 		}
 	}
 	for _, e := range s.entries {
-		if !e.asking {
-			earlier(e.nextAsk)
+		if !e.exchanging {
+			earlier(e.nextExchange)
 		}
 	}
-	if !s.storeReach && len(s.join) > 0 {
-		earlier(s.joinAt)
+	if !s.storeReachable && len(s.joinAddresses) > 0 {
+		earlier(s.nextJoin)
 	}
 	return next
 }
 
-func (s *Set) rebuild() {
+func (s *Set) rebuildMembers() {
 	peers := make([]*pb.Peer, 0, len(s.entries))
 	for _, e := range s.entries {
 		if e.member {
@@ -388,5 +399,5 @@
 		}
 	}
 	slices.SortFunc(peers, func(a, b *pb.Peer) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-	s.peers = peers
+	s.members = peers
 }
--- a/dispatch/member/set_test.go
+++ b/dispatch/member/set_test.go
@@ -15,39 +15,39 @@
 	return &pb.Peer{Entry: fmt.Sprintf("e%d", i), Incarnation: fmt.Sprintf("i%d", i), Address: fmt.Sprintf("10.0.0.%d", i)}
 }
 
-// run lets time pass in which some entries are heard every second and the others
-// don't answer.
-func run(s *Set, from time.Time, during time.Duration, heard ...int) time.Time {
+// run advances the time in steps of a second. Messages from some entries arrive in
+// each step; all exchanges fail.
+func run(s *Set, from time.Time, during time.Duration, responsive ...int) time.Time {
 	for end := from.Add(during); from.Before(end); from = from.Add(time.Second) {
 		for _, a := range s.Tick(from) {
 			s.Failed(from, a.Incarnation)
 		}
-		for _, i := range heard {
+		for _, i := range responsive {
 			s.Heard(from, "", &pb.PeerState{Self: peer(i)})
 		}
 	}
 	return from
 }
 
-// Entry 2 of three is not heard any more. If its parts of the contracts are taken
-// while it lives, a customer gets more than the contract allows; if they are never
-// taken, what is left for the customer shrinks with every crash.
+// Entry 2 of three becomes unresponsive. If others use its shares of the contracts
+// while it is alive, a customer gets more than the contract allows; if they never
+// do, the customer's usable share shrinks with every crash.
 func TestStartersAndFence(t *testing.T) {
 	tests := []struct {
-		name     string
-		store    bool // can be reached
-		lapsed   bool // the store no longer names entry 2
-		lease    bool // this entry's own lease is renewed
-		heard    []int
-		after    time.Duration
-		starters []string
-		fenced   bool
+		name       string
+		store      bool // reachable
+		lapsed     bool // the store no longer lists entry 2
+		lease      bool // this entry's own lease is renewed
+		responsive []int
+		after      time.Duration
+		starters   []string
+		fenced     bool
 	}{
-		{"just fallen silent", true, true, true, []int{1}, 10 * time.Second, []string{"i1", "i2"}, false},
+		{"unresponsive for a short time", true, true, true, []int{1}, 10 * time.Second, []string{"i1", "i2"}, false},
 		{"crashed, lease in force", true, false, true, []int{1}, time.Hour, []string{"i1", "i2"}, false},
 		{"crashed, lease lapsed", true, true, true, []int{1}, 40 * time.Second, []string{"i1"}, false},
-		{"lapsed, yet heard", true, true, true, []int{1, 2}, time.Hour, []string{"i1", "i2"}, false},
-		{"crashed as the store goes away", false, false, false, []int{1}, 20 * time.Second, []string{"i1", "i2"}, false},
+		{"lapsed, but responsive", true, true, true, []int{1, 2}, time.Hour, []string{"i1", "i2"}, false},
+		{"crashed as the store becomes unreachable", false, false, false, []int{1}, 20 * time.Second, []string{"i1", "i2"}, false},
 		{"crashed in a long outage", false, false, false, []int{1}, time.Minute, []string{"i1"}, false},
 		{"alone in an outage", false, false, false, nil, time.Hour, []string{"i1", "i2"}, true},
 		{"alone, with a lease", true, false, true, nil, time.Hour, []string{"i1", "i2"}, false},
@@ -63,7 +63,7 @@
 		if tt.lapsed {
 			s.Withdrawn(now, "i2")
 		}
-		now = run(s, now, tt.after, tt.heard...)
+		now = run(s, now, tt.after, tt.responsive...)
 		if tt.lease {
 			s.Lease(now)
 		}
@@ -73,9 +73,9 @@
 	}
 }
 
-// An entry ends in order, and another is restarted at its address. Both are
-// proofs; nobody has to wait for a lease.
-func TestProofsOfTheEnd(t *testing.T) {
+// One entry ends gracefully, and another is replaced by a new process at its
+// address. Both prove that the entry has ended, without waiting for a lease.
+func TestProofOfEnd(t *testing.T) {
 	s := New(peer(0), nil, func() float64 { return 0.5 }, Options{})
 	now := run(s, start, 10*time.Second, 1, 2, 3)
 	last := peer(1)
@@ -87,8 +87,8 @@
 	}
 }
 
-// An entry comes and goes every twenty seconds. Each time it counts, parts of
-// contracts and links move; it must prove itself for longer before it counts again.
+// An entry flaps every 20 seconds. Each time it becomes a member, contract shares and
+// links move, so it must be reachable for longer each time before it is one again.
 func TestFlappingIsDamped(t *testing.T) {
 	s := New(peer(0), nil, func() float64 { return 0.5 }, Options{})
 	now := run(s, start, 5*time.Second, 1, 2)
@@ -96,7 +96,7 @@
 	for range 5 {
 		now = run(s, now, 20*time.Second, 1)
 		if len(s.Members()) != 1 {
-			t.Fatalf("a silent entry is a member: %v", s.Members())
+			t.Fatalf("an unresponsive entry is a member: %v", s.Members())
 		}
 		back := now
 		for len(s.Members()) < 2 {
--- a/dispatch/member/starters.go
+++ b/dispatch/member/starters.go
@@ -7,76 +7,78 @@
 )
 
 // Starters returns the incarnations of the other entries that may still start
-// tasks, whose part of each contract must be left alone. It errs on the side of
-// naming one too many, where Members errs on the other.
+// tasks, and whose share of each contract must not be used by others. It may return
+// entries that have ended, whereas Members may omit entries that are alive.
 //
-// An entry is left out when it is proven to have ended, by its own last word or
-// by another process at its address. One that crashed can't prove that, so
-// without more its parts would be lost for as long as it is not replaced at the
-// same address. So an entry is also left out when it was not heard for
-// Options.GoneAfter, and either the store, reached for longer than a lease lasts,
-// does not name it, or the store can't be reached for that long and this entry
-// hears a majority of those that it knows. Such an entry is Fenced, by then, on its own side:
-// it hears no majority and has no lease.
+// An entry is omitted once it is proven to have ended, by its own last message or by
+// another process at its address. A crashed entry gives no such proof, and its
+// shares would be unusable until it is replaced at the same address. An entry is
+// therefore also omitted if nothing was received from it for Options.GoneAfter, and
+// either the store has been reachable for longer than a lease lasts and does not
+// list the entry, or the store has been unreachable for that long and this entry
+// receives messages from a majority of the entries that it knows. If the omitted
+// entry still runs, it is Fenced by then on its own side: it is in contact with no
+// majority and has no lease.
 //
-// What remains: the network has cut the entries apart, and one side alone reaches
-// the store while the other holds the majority. Then both sides may use the parts
-// of the other until the network heals.
+// One case remains: in a network partition one side reaches the store while the
+// other holds the majority. Then each side may use the shares of the other until the
+// partition heals.
 func (s *Set) Starters(now time.Time) []string {
-	if s.lostAt.IsZero() {
-		s.lostAt = now
+	if s.storeUnreachableSince.IsZero() {
+		s.storeUnreachableSince = now
 	}
-	majority := s.majority(now)
-	named := func(e *entry) bool {
-		if !s.storeReach {
-			return !majority || now.Sub(s.lostAt) < s.options.LeaseTTL
+	majority := s.hasMajority(now)
+	mayStart := func(e *entry) bool {
+		if !s.storeReachable {
+			return !majority || now.Sub(s.storeUnreachableSince) < s.options.LeaseTTL
 		}
-		return e.stored || now.Sub(s.reachedAt) < s.options.LeaseTTL
+		return e.inStore || now.Sub(s.storeReachableSince) < s.options.LeaseTTL
 	}
 	for _, e := range s.entries {
-		if s.unheard(now, e) >= s.options.GoneAfter && !named(e) {
-			e.gone = true
+		if s.sinceReceived(now, e) >= s.options.GoneAfter && !mayStart(e) {
+			e.assumedStopped = true
 		}
 	}
 	var starters []string
 	for _, incarnation := range slices.Sorted(maps.Keys(s.entries)) {
-		if !s.entries[incarnation].gone {
+		if !s.entries[incarnation].assumedStopped {
 			starters = append(starters, incarnation)
 		}
 	}
 	return starters
 }
 
-// Lease takes in that this entry's lease at the store was renewed. Sent is when
-// the renewal was asked for; the lease may lapse one TTL after that.
+// Lease records a renewal of this entry's lease in the store. Sent is the time at
+// which the renewal was requested; the lease may lapse one TTL after it.
 func (s *Set) Lease(sent time.Time) { s.leaseUntil = sent.Add(s.options.LeaseTTL) }
 
-// Fenced reports whether others may take this entry for gone: it must start
-// nothing then.
+// Fenced reports whether other entries may assume that this entry has stopped. If
+// so, it must not start tasks.
 func (s *Set) Fenced(now time.Time) bool {
-	return !now.Before(s.leaseUntil) && !s.majority(now)
+	return !now.Before(s.leaseUntil) && !s.hasMajority(now)
 }
 
-// majority reports whether this entry hears more than half of the entries that
-// it knows, itself included.
-func (s *Set) majority(now time.Time) bool {
-	known, heard := 1, 1
+// hasMajority reports whether this entry is in contact with more than half of the
+// entries that it knows, including itself.
+func (s *Set) hasMajority(now time.Time) bool {
+	known, reachable := 1, 1
 	for _, e := range s.entries {
-		if e.gone {
+		if e.assumedStopped {
 			continue
 		}
 		known++
-		if s.unheard(now, e) < s.options.DeadAfter {
-			heard++
+		if s.sinceReceived(now, e) < s.options.DeadAfter {
+			reachable++
 		}
 	}
-	return 2*heard > known
+	return 2*reachable > known
 }
 
-// unheard is the time since an entry gave proof of life, or since it became known.
-func (s *Set) unheard(now time.Time, e *entry) time.Duration {
-	if e.heard.IsZero() {
-		return now.Sub(e.first)
+// sinceReceived returns the time since the last message from an entry, or since it
+// was first listed if there was none.
+func (s *Set) sinceReceived(now time.Time, e *entry) time.Duration {
+	if e.lastReceived.IsZero() {
+		return now.Sub(e.firstListed)
 	}
-	return now.Sub(e.heard)
+	return now.Sub(e.lastReceived)
 }
