--- a/dispatch/agent/links.go
+++ b/dispatch/agent/links.go
@@ -197,7 +197,7 @@
 	if tasks := a.recordedTasks(p, f.News); len(tasks) > 0 {
 		p.unacked = append(p.unacked, sentResults{seq: f.Seq, tasks: tasks})
 	}
-	a.ready.Frames = append(a.ready.Frames, Out{Entry: p.hello.Incarnation, Epoch: p.session.Epoch(), Frame: f})
+	a.ready.Frames = append(a.ready.Frames, OutgoingFrame{Entry: p.hello.Incarnation, Epoch: p.session.Epoch(), Frame: f})
 }
 
 // recordedTasks returns the recorded tasks whose results are in news and whose home
--- a/dispatch/agent/options.go
+++ b/dispatch/agent/options.go
@@ -28,9 +28,9 @@
 	// dead: a drain no longer waits for it, and its results may be evicted. It
 	// should exceed the entries' AgentLostAfter.
 	PeerLostAfter time.Duration
-	// Damping is how long credits of an entry must be unused before they are
+	// RecallDelay is how long credits of an entry must be unused before they are
 	// recalled for another entry that waits.
-	Damping time.Duration
+	RecallDelay time.Duration
 	// Divided assigns each slot to one entry at a time, by credits that move between
 	// entries, instead of offering all slots to every entry.
 	Divided bool
@@ -53,8 +53,8 @@
 	DefaultLoadInterval   = time.Second
 	DefaultMaxQueued      = 1
 	// maxEvictedHomes bounds each set of the homes of evicted records.
-	maxEvictedHomes = 4096
-	DefaultDamping  = 10 * time.Millisecond
+	maxEvictedHomes    = 4096
+	DefaultRecallDelay = 10 * time.Millisecond
 )
 
 // UsePreset sets options that are unset to the values of a preset.
@@ -73,7 +73,7 @@
 	o.MaxFences = cmp.Or(o.MaxFences, DefaultMaxFences)
 	o.MaxQueued = cmp.Or(o.MaxQueued, DefaultMaxQueued)
 	o.PeerLostAfter = cmp.Or(o.PeerLostAfter, DefaultPeerLostAfter)
-	o.Damping = cmp.Or(o.Damping, DefaultDamping)
+	o.RecallDelay = cmp.Or(o.RecallDelay, DefaultRecallDelay)
 	o.LoadInterval = cmp.Or(o.LoadInterval, DefaultLoadInterval)
 	return o
 }
@@ -93,8 +93,8 @@
 	Deadline time.Time
 }
 
-// Out is a frame for one entry.
-type Out struct {
+// OutgoingFrame is a frame for one entry.
+type OutgoingFrame struct {
 	Entry string // incarnation
 	Epoch uint64
 	Frame *pb.AgentFrame
@@ -102,7 +102,7 @@
 
 // Ready is what the driver must carry out, in any order.
 type Ready struct {
-	Frames []Out
+	Frames []OutgoingFrame
 	Run    []Run
 	Stop   []TaskRef
 	// Relink lists the entries (incarnations) whose link has timed out and must be
--- a/dispatch/place/bound.go
+++ b/dispatch/place/bound.go
@@ -17,7 +17,7 @@
 	agents := make([]*Agent, len(j.Tasks))
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		agents[i] = s.picker.Bind(s.Pool, Need{Memory: t.Memory, Run: t.Run, Tasks: len(j.Tasks)})
+		agents[i] = s.picker.Bind(s.Pool, Need{Memory: t.Memory, RunTime: t.Run, Tasks: len(j.Tasks)})
 		if agents[i] == nil {
 			return false
 		}
--- a/dispatch/place/picker.go
+++ b/dispatch/place/picker.go
@@ -7,11 +7,11 @@
 
 // Need describes the tasks to place.
 type Need struct {
-	// Memory, in bytes, and Run, the expected run time, are those of the first
+	// Memory, in bytes, and RunTime, the expected run time, are those of the first
 	// task. Tasks is the number of waiting tasks of the job, including the first.
-	Memory uint64
-	Run    time.Duration
-	Tasks  int
+	Memory  uint64
+	RunTime time.Duration
+	Tasks   int
 }
 
 // Picker chooses agents. Implementations may keep state; they need not be safe
@@ -76,7 +76,7 @@
 // the expected time to its end beyond its run time on an agent of average speed,
 // plus the costs of c.
 func (c *Credits) score(a *Agent, need Need) float64 {
-	score := float64(a.Distance) + float64(need.Run)*(a.Slowness-1)
+	score := float64(a.Distance) + float64(need.RunTime)*(a.Slowness-1)
 	score += float64(c.SpreadCost) * a.utilization()
 	batch := min(a.usable(), need.Tasks)
 	if a.shared {
--- a/dispatch/place/pool.go
+++ b/dispatch/place/pool.go
@@ -218,8 +218,8 @@
 	return a
 }
 
-// Drop removes an agent and its credits.
-func (p *Pool) Drop(id string) {
+// RemoveAgent removes an agent and its credits.
+func (p *Pool) RemoveAgent(id string) {
 	a := p.agents[id]
 	if a == nil {
 		return
--- a/dispatch/place/queue.go
+++ b/dispatch/place/queue.go
@@ -221,9 +221,9 @@
 	q.attach(f)
 }
 
-// Forget removes a contract. If the contract has waiting work, Forget does nothing
-// and returns false.
-func (q *Queue) Forget(name string) bool {
+// RemoveContract removes a contract. If the contract has waiting work, it does
+// nothing and returns false.
+func (q *Queue) RemoveContract(name string) bool {
 	f := q.flows[name]
 	if f == nil {
 		return true
@@ -253,9 +253,9 @@
 	q.attach(f)
 }
 
-// PutBack returns tasks to the queue that an agent has proved never to have
+// Requeue returns tasks to the queue that an agent has proved never to have
 // started. The job keeps its position in the order and can no longer be shed.
-func (q *Queue) PutBack(j *Job, tasks ...Task) {
+func (q *Queue) Requeue(j *Job, tasks ...Task) {
 	f := j.flow
 	q.detach(f)
 	j.Tasks = append(j.Tasks, tasks...)
--- a/dispatch/place/scheduler.go
+++ b/dispatch/place/scheduler.go
@@ -120,7 +120,7 @@
 		s.Push(j)
 		return
 	}
-	j.queue.PutBack(j, tasks...)
+	j.queue.Requeue(j, tasks...)
 }
 
 // Remove removes a job and returns its waiting tasks.
@@ -150,7 +150,7 @@
 			s.release(i)
 		}
 	}
-	s.Pool.Drop(id)
+	s.Pool.RemoveAgent(id)
 	if a.bound != nil {
 		s.rebind(a.bound)
 	}
@@ -205,7 +205,7 @@
 
 func nextNeed(j *Job) Need {
 	t := &j.Tasks[0]
-	return Need{Memory: t.Memory, Run: t.Run, Tasks: len(j.Tasks)}
+	return Need{Memory: t.Memory, RunTime: t.Run, Tasks: len(j.Tasks)}
 }
 
 // tryPlace places as many tasks of a job as the agent's credits and the limits of the
