--- a/dispatch/agent/tasks.go
+++ b/dispatch/agent/tasks.go
@@ -181,7 +181,7 @@
 	a.balance(now)
 }
 
-// removeTask removes the record of a task that has not run. It is called only once
+// removeTask removes the record of a task that has not run. It is called only after
 // the home has acknowledged that result or sent a new start. Before that, a start
 // that the home resent without knowing the result would run here while the home
 // sends the task elsewhere.
