--- a/dispatch/agent/options.go
+++ b/dispatch/agent/options.go
@@ -12,32 +12,34 @@
 
 // Options configure an Agent.
 type Options struct {
-	// Hello names the agent and its worker's size.
+	// Hello identifies the agent and states the size of its worker.
 	Hello *pb.AgentHello
 	Link  link.Options
-	// MaxRecords bounds the tasks the agent remembers, running ones included.
+	// MaxRecords bounds the recorded tasks, including running ones.
 	MaxRecords int
-	// MaxResultBytes bounds the results it keeps.
+	// MaxResultBytes bounds the total size of the recorded results.
 	MaxResultBytes int
-	// FenceTTL is how long a fence holds; longer than any job may last.
+	// FenceTTL is how long a fence stays in force. It must exceed the duration of
+	// any job.
 	FenceTTL time.Duration
-	// MaxFences bounds the fences held at once.
+	// MaxFences bounds the fences in force at once.
 	MaxFences int
-	// PeerLostAfter is when an entry without a link is taken for gone: a drain no
-	// longer waits for it, and its results may be evicted. It should exceed the
-	// entries' AgentLostAfter.
+	// PeerLostAfter is the time without a link after which an entry is presumed
+	// dead: a drain no longer waits for it, and its results may be evicted. It
+	// should exceed the entries' AgentLostAfter.
 	PeerLostAfter time.Duration
-	// Damping is how long an entry's credits must lie unused before they are
-	// recalled for another that waits.
-	Damping time.Duration
-	// Divided gives each slot to one entry at a time, by credits that move between
+	// RecallDelay is how long credits of an entry must be unused before they are
+	// recalled for another entry that waits.
+	RecallDelay time.Duration
+	// Divided assigns each slot to one entry at a time, by credits that move between
 	// entries, instead of offering all slots to every entry.
 	Divided bool
-	// MaxQueued, if it is not negative, bounds the units of each entry that wait for a slot unless Divided is set.
+	// MaxQueued bounds the units of each entry that wait for a slot, unless it is
+	// negative or Divided is set.
 	MaxQueued int
-	// LoadEvery is the least time between load reports on one link.
-	LoadEvery time.Duration
-	// Events takes what happens, for the time line, and stamps messages; nil: none.
+	// LoadInterval is the minimum time between load reports on one link.
+	LoadInterval time.Duration
+	// Events records events for the time line and stamps messages. It may be nil.
 	Events *event.Ring
 }
 
@@ -48,14 +50,14 @@
 	DefaultFenceTTL       = 30 * time.Minute
 	DefaultMaxFences      = 50_000
 	DefaultPeerLostAfter  = 15 * time.Second
-	DefaultLoadEvery      = time.Second
+	DefaultLoadInterval   = time.Second
 	DefaultMaxQueued      = 1
-	// maxHomes bounds the homes remembered for evicted records.
-	maxHomes       = 4096
-	DefaultDamping = 10 * time.Millisecond
+	// maxEvictedHomes bounds each set of the homes of evicted records.
+	maxEvictedHomes    = 4096
+	DefaultRecallDelay = 10 * time.Millisecond
 )
 
-// UsePreset fills in what a preset says and the options leave open.
+// UsePreset sets options that are unset to the values of a preset.
 func (o *Options) UsePreset(p preset.Preset) {
 	if o.Link == (link.Options{}) {
 		o.Link = p.Link
@@ -71,15 +73,15 @@
 	o.MaxFences = cmp.Or(o.MaxFences, DefaultMaxFences)
 	o.MaxQueued = cmp.Or(o.MaxQueued, DefaultMaxQueued)
 	o.PeerLostAfter = cmp.Or(o.PeerLostAfter, DefaultPeerLostAfter)
-	o.Damping = cmp.Or(o.Damping, DefaultDamping)
-	o.LoadEvery = cmp.Or(o.LoadEvery, DefaultLoadEvery)
+	o.RecallDelay = cmp.Or(o.RecallDelay, DefaultRecallDelay)
+	o.LoadInterval = cmp.Or(o.LoadInterval, DefaultLoadInterval)
 	return o
 }
 
-// TaskRef names one task.
+// TaskRef identifies one task.
 type TaskRef struct {
 	Contract string
-	Job      string // the id without the contract
+	Job      string // job ID without the contract
 	Task     uint32
 }
 
@@ -91,8 +93,8 @@
 	Deadline time.Time
 }
 
-// Out is a frame for one entry.
-type Out struct {
+// OutgoingFrame is a frame for one entry.
+type OutgoingFrame struct {
 	Entry string // incarnation
 	Epoch uint64
 	Frame *pb.AgentFrame
@@ -100,9 +102,10 @@
 
 // Ready is what the driver must carry out, in any order.
 type Ready struct {
-	Frames []Out
+	Frames []OutgoingFrame
 	Run    []Run
 	Stop   []TaskRef
-	// Relink lists the entries (incarnations) whose link has gone silent.
+	// Relink lists the entries (incarnations) whose link has timed out and must be
+	// replaced.
 	Relink []string
 }
