--- a/dispatch/limit/credits.go
+++ b/dispatch/limit/credits.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// CreditsOptions tunes an agent's credits.
+// CreditsOptions configures an agent's credits.
 type CreditsOptions struct {
-	// Slots of the endpoint.
+	// Slots is the number of slots of the endpoint.
 	Slots int
-	// Damping is how long credits must have been left unused before they are
-	// recalled for another entry. Shorter follows demand faster and costs more
-	// messages.
+	// Damping is how long credits must stay unused before they are recalled for
+	// another entry. A shorter time follows demand faster and costs more messages.
 	Damping time.Duration
 }
 
 // Credits divides the slots of one endpoint between the entries linked to it.
-// At any time running units, credits granted and not used, and free slots sum up
-// to the slots. Use [NewCredits].
+// At any time, running units, unused credits and free slots add up to the total
+// number of slots. Use [NewCredits].
 type Credits struct {
 	options CreditsOptions
 	slots   int
@@ -26,27 +25,29 @@
 	granted int
 	entries map[string]*holder
 	order   []*holder
-	// turn rotates who gets the odd slot.
-	turn int
+	// rotation is the index in order at which the search for a recipient starts. It
+	// advances with each grant, so that ties are broken round-robin.
+	rotation int
 }
 
-// holder is one entry's side.
+// holder is the state of one linked entry.
 type holder struct {
 	entry    string
 	granted  int
 	running  int
 	want     int
 	recalled int
-	// low is the fewest credits the entry had left since the time since: what
-	// it could do without.
-	low   int
-	since time.Time
+	// minUnused is the lowest number of unused credits since windowStart: what the
+	// entry did not need in that window.
+	minUnused   int
+	windowStart time.Time
 }
 
 // Grant is a change for one entry.
 type Grant struct {
 	Entry string
-	// Granted are new credits, Recall credits that the agent would like back.
+	// Granted is the number of new credits, Recall the number of credits that the
+	// agent asks the entry to return.
 	Granted int
 	Recall  int
 }
@@ -56,8 +57,8 @@
 	return &Credits{options: options, slots: options.Slots, entries: make(map[string]*holder)}
 }
 
-// Link adds an entry, or begins anew with one whose link was replaced: credits
-// of the older link are void, since starts on it are refused from now on.
+// Link adds an entry, or resets one whose link was replaced: the credits of the
+// older link are void, since starts on it are refused from now on.
 func (c *Credits) Link(entry string, now time.Time) {
 	h := c.entries[entry]
 	if h == nil {
@@ -66,37 +67,37 @@
 		pos, _ := slices.BinarySearchFunc(c.order, entry, func(o *holder, e string) int { return cmp.Compare(o.entry, e) })
 		c.order = slices.Insert(c.order, pos, h)
 	}
-	c.void(h)
-	h.low, h.since = 0, now
+	c.invalidate(h)
+	h.minUnused, h.windowStart = 0, now
 }
 
-// Unlink takes an entry's credits back. Its running tasks go on.
+// Unlink removes an entry and frees its unused credits. Its running tasks continue.
 func (c *Credits) Unlink(entry string) {
 	h := c.entries[entry]
 	if h == nil {
 		return
 	}
-	c.void(h)
+	c.invalidate(h)
 	delete(c.entries, entry)
 	c.order = slices.DeleteFunc(c.order, func(o *holder) bool { return o == h })
 }
 
-func (c *Credits) void(h *holder) {
+func (c *Credits) invalidate(h *holder) {
 	c.granted -= h.granted
 	h.granted, h.want, h.recalled = 0, 0, 0
 }
 
-// SetWant notes how many slots an entry could use beyond its credits.
+// SetWant sets how many slots an entry could use beyond its credits.
 func (c *Credits) SetWant(entry string, want int) {
 	if h := c.entries[entry]; h != nil {
 		h.want = max(want, 0)
 	}
 }
 
-// Start uses an entry's credits for a task, and free slots for what they lack: a
-// start sent again on a new link comes before the credits of that link. It
-// refuses if there are too few of both, since the task would take a slot promised
-// to another entry.
+// Start consumes an entry's credits for a task, and free slots if the credits do
+// not suffice: a start that is resent on a new link arrives before the entry has
+// credits of that link. It refuses if both together are too few, since the task
+// would take a slot promised to another entry.
 func (c *Credits) Start(entry string, units int) Verdict {
 	h := c.entries[entry]
 	if h == nil || h.granted+c.Free() < units {
@@ -105,7 +106,7 @@
 	used := min(h.granted, units)
 	h.granted -= used
 	h.running += units
-	h.low = min(h.low, h.granted)
+	h.minUnused = min(h.minUnused, h.granted)
 	h.recalled = min(h.recalled, h.granted)
 	c.granted -= used
 	c.running += units
@@ -121,7 +122,7 @@
 // Cancel does nothing: nothing is queued.
 func (c *Credits) Cancel(string, int) {}
 
-// End frees the slots of a task that ended. Entry may be gone.
+// End frees the slots of a task that ended. The entry may be unlinked already.
 func (c *Credits) End(entry string, units int) {
 	c.running -= units
 	if h := c.entries[entry]; h != nil {
@@ -129,8 +130,8 @@
 	}
 }
 
-// Returned takes back credits that an entry gave up, which answers a recall even
-// if it needed some of them meanwhile.
+// Returned frees credits that an entry returned. This completes a recall, even if
+// the entry has used some of the recalled credits in the meantime.
 func (c *Credits) Returned(entry string, n int) {
 	h := c.entries[entry]
 	if h == nil {
@@ -138,30 +139,30 @@
 	}
 	n = min(n, h.granted)
 	h.granted -= n
-	h.low = min(h.low, h.granted)
+	h.minUnused = min(h.minUnused, h.granted)
 	h.recalled = 0
 	c.granted -= n
 }
 
-// Unused takes back the credits of a start that used none: it was refused, or a
-// repetition.
+// Unused frees the credits that an entry spent on a start that needs no slot
+// because it was refused or is a duplicate.
 func (c *Credits) Unused(entry string, units int) {
 	if h := c.entries[entry]; h != nil {
 		units = min(units, h.granted)
 		h.granted -= units
-		h.low = min(h.low, h.granted)
+		h.minUnused = min(h.minUnused, h.granted)
 		h.recalled = min(h.recalled, h.granted)
 		c.granted -= units
 	}
 }
 
-// Free returns the slots that neither run a task nor are granted.
+// Free returns the number of slots that neither run a task nor are granted.
 func (c *Credits) Free() int { return c.slots - c.running - c.granted }
 
-// Running returns the units that run.
+// Running returns the number of running units.
 func (c *Credits) Running() int { return c.running }
 
-// Granted returns an entry's unused credits.
+// Granted returns the number of an entry's unused credits.
 func (c *Credits) Granted(entry string) int {
 	if h := c.entries[entry]; h != nil {
 		return h.granted
@@ -169,17 +170,18 @@
 	return 0
 }
 
-// Balance hands out free slots and asks for unused credits where another entry
-// wants them. The changes are to be sent; those for an entry that gets a frame
-// anyway cost nothing.
+// Balance grants free slots and recalls unused credits that another entry wants. It
+// appends to changes what the caller must send; a change for an entry that is sent a
+// frame anyway costs no message of its own.
 func (c *Credits) Balance(now time.Time, changes []Grant) []Grant {
 	changes = c.grantWanted(changes)
 	changes = c.grantIdle(changes)
 	return c.recall(now, changes)
 }
 
-// Sticky gives slots that just ended back to the entry whose tasks they ran, if
-// no other entry wants slots: the credits ride on the result.
+// Sticky grants slots that have just become free to the entry whose task they ran,
+// unless another entry wants slots and would hold fewer. It returns the number of
+// credits granted; they are sent in the same frame as the result.
 func (c *Credits) Sticky(entry string, units int) int {
 	h := c.entries[entry]
 	if h == nil {
@@ -191,62 +193,64 @@
 		}
 	}
 	n := min(units, c.Free())
-	c.give(h, n)
+	c.grant(h, n)
 	return n
 }
 
 func (h *holder) held() int { return h.granted + h.running }
 
-func (c *Credits) give(h *holder, n int) {
+func (c *Credits) grant(h *holder, n int) {
 	h.granted += n
 	h.want = max(h.want-n, 0)
 	c.granted += n
 }
 
-// grantWanted serves entries that ask, the one that holds least first.
+// grantWanted grants free slots to the entries that want some, fewest held first.
 func (c *Credits) grantWanted(changes []Grant) []Grant {
 	for c.Free() > 0 {
-		h := c.least(func(h *holder) bool { return h.want > 0 })
+		h := c.fewestHeld(func(h *holder) bool { return h.want > 0 })
 		if h == nil {
 			break
 		}
-		c.give(h, 1)
+		c.grant(h, 1)
 		changes = addGrant(changes, h.entry, 1)
 	}
 	return changes
 }
 
-// grantIdle hands out slots that nobody asks for, so that a task that arrives at
-// any entry finds a credit there and waits for no message.
+// grantIdle grants slots that no entry wants, so that a task that arrives at any
+// entry finds a credit there and need not wait for a message.
 func (c *Credits) grantIdle(changes []Grant) []Grant {
 	for c.Free() > 0 {
-		h := c.least(func(*holder) bool { return true })
+		h := c.fewestHeld(func(*holder) bool { return true })
 		if h == nil {
 			break
 		}
-		c.give(h, 1)
+		c.grant(h, 1)
 		changes = addGrant(changes, h.entry, 1)
 	}
 	return changes
 }
 
-// least returns the matching entry that holds the fewest slots.
-func (c *Credits) least(match func(*holder) bool) *holder {
+// fewestHeld returns the matching entry that holds the fewest slots, nil if none
+// matches.
+func (c *Credits) fewestHeld(match func(*holder) bool) *holder {
 	var best *holder
 	n := len(c.order)
 	for i := range n {
-		h := c.order[(c.turn+i)%n]
+		h := c.order[(c.rotation+i)%n]
 		if match(h) && (best == nil || h.held() < best.held()) {
 			best = h
 		}
 	}
 	if best != nil {
-		c.turn = (c.turn + 1) % n
+		c.rotation = (c.rotation + 1) % n
 	}
 	return best
 }
 
-// recall asks entries that left credits unused for what others want.
+// recall asks entries that left credits unused for Damping to return what others
+// want.
 func (c *Credits) recall(now time.Time, changes []Grant) []Grant {
 	wanted := 0
 	for _, h := range c.order {
@@ -256,11 +260,11 @@
 		wanted -= h.recalled
 	}
 	for _, h := range c.order {
-		if now.Sub(h.since) < c.options.Damping {
+		if now.Sub(h.windowStart) < c.options.Damping {
 			continue
 		}
-		n := min(h.low-h.recalled, wanted)
-		h.low, h.since = h.granted, now
+		n := min(h.minUnused-h.recalled, wanted)
+		h.minUnused, h.windowStart = h.granted, now
 		if n <= 0 || h.want > 0 {
 			continue
 		}
@@ -271,8 +275,8 @@
 	return changes
 }
 
-// RecallAt returns when Balance may have something to recall, zero if nobody
-// waits for it.
+// RecallAt returns the next time at which Balance may have something to recall, zero
+// if no entry waits for slots.
 func (c *Credits) RecallAt() time.Time {
 	wanted := 0
 	for _, h := range c.order {
@@ -283,7 +287,7 @@
 		return at
 	}
 	for _, h := range c.order {
-		next := h.since.Add(c.options.Damping)
+		next := h.windowStart.Add(c.options.Damping)
 		if h.want == 0 && h.granted > h.recalled && (at.IsZero() || next.Before(at)) {
 			at = next
 		}
--- a/dispatch/limit/limit_test.go
+++ b/dispatch/limit/limit_test.go
@@ -14,9 +14,9 @@
 
 var epoch = time.Unix(1000, 0)
 
-// Entries link, lose their link, ask, start, give back and vanish in any order.
-// If slots were ever promised twice the worker would start more than it holds,
-// and tasks of innocent customers would be killed for memory.
+// Entries link, disconnect, request, start, return credits and disappear in any order.
+// If a slot were promised twice, the endpoint would start more tasks than fit, and
+// tasks of other customers would be killed for lack of memory.
 func TestCreditsNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 16).Draw(t, "slots")
@@ -62,8 +62,8 @@
 	})
 }
 
-// Several entries start tasks on the same slots at once. If more ran than there
-// are slots, the worker would run out of memory and fail all of them.
+// Several entries start tasks on the same slots at once. If more tasks ran than there
+// are slots, the endpoint would run out of memory and all of them would fail.
 func TestSharedNeverExceedsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
@@ -124,25 +124,25 @@
 	c.Link("b", epoch)
 	want := []Grant{{Entry: "a", Granted: 4}, {Entry: "b", Granted: 4}}
 	if diff := cmp.Diff(want, c.Balance(epoch, nil)); diff != "" {
-		t.Errorf("idle slots: %s", diff)
+		t.Errorf("grants of idle slots (-want +got): %s", diff)
 	}
 	c.SetWant("a", 3)
 	if got := c.Balance(epoch.Add(time.Millisecond), nil); len(got) != 0 {
-		t.Errorf("before the damping time: %v", got)
+		t.Errorf("changes before the damping time has passed: %v", got)
 	}
 	c.Start("b", 2)
 	c.Balance(epoch.Add(10*time.Millisecond), nil)
 	got := c.Balance(epoch.Add(20*time.Millisecond), nil)
 	if diff := cmp.Diff([]Grant{{Entry: "b", Recall: 2}}, got); diff != "" {
-		t.Errorf("recall: %s", diff)
+		t.Errorf("recall (-want +got): %s", diff)
 	}
 	c.Returned("b", 2)
 	if diff := cmp.Diff([]Grant{{Entry: "a", Granted: 2}}, c.Balance(epoch.Add(20*time.Millisecond), nil)); diff != "" {
-		t.Errorf("after the return: %s", diff)
+		t.Errorf("grants after the return (-want +got): %s", diff)
 	}
 	c.End("b", 1)
 	if got := c.Sticky("b", 1); got != 1 {
-		t.Errorf("entry b holds less than a, and got %d credits back", got)
+		t.Errorf("entry b, which holds fewer slots than a, was granted %d credits, want 1", got)
 	}
 	c.Link("b", epoch)
 	c.SetWant("a", 8)
@@ -152,20 +152,20 @@
 	}
 }
 
-// net is a set of entries whose messages are lost or late.
-type net struct {
+// network is a set of entries whose messages may be lost or delayed.
+type network struct {
 	shares map[string]*Shares
 	using  map[string]uint32
 	queue  map[[2]string][]ShareState
 	names  []string
 }
 
-func newNet() *net {
-	return &net{shares: map[string]*Shares{}, using: map[string]uint32{}, queue: map[[2]string][]ShareState{}}
+func newNetwork() *network {
+	return &network{shares: map[string]*Shares{}, using: map[string]uint32{}, queue: map[[2]string][]ShareState{}}
 }
 
-// join announces an entry and then lists the others, which hear of it later.
-func (n *net) join(total uint32) {
+// addEntry adds an entry that knows all earlier ones. These learn of it by its messages.
+func (n *network) addEntry(total uint32) {
 	name := fmt.Sprintf("e%d", (len(n.names)*7+3)%10)
 	s := NewShares(name)
 	s.SetContract("c", total)
@@ -176,12 +176,12 @@
 	n.names = append(n.names, name)
 }
 
-func (n *net) send(from, to string) {
+func (n *network) send(from, to string) {
 	state := n.shares[from].State(func(string) uint32 { return n.using[from] })
 	n.queue[[2]string{from, to}] = append(n.queue[[2]string{from, to}], state)
 }
 
-func (n *net) deliver(from, to string) {
+func (n *network) deliver(from, to string) {
 	link := [2]string{from, to}
 	if len(n.queue[link]) > 0 {
 		n.shares[to].Receive(n.queue[link][0], epoch)
@@ -189,34 +189,34 @@
 	}
 }
 
-func (n *net) sums() (parts, using uint32) {
+func (n *network) totals() (held, using uint32) {
 	for name, s := range n.shares {
 		slots, _ := s.Part("c")
-		parts += slots
+		held += slots
 		using += n.using[name]
 	}
-	return parts, using
+	return held, using
 }
 
-// settle lets every message through, also what answers a plan of the last tick: where
-// there are fewer slots than entries a slot is on its way from one to the next after
-// each turn.
-func (n *net) settle() {
+// converge ticks all entries and delivers every message. The rounds after the last tick
+// complete the plan made in it: with fewer slots than entries, each rotation moves a
+// slot from one entry to the next.
+func (n *network) converge() {
 	for range 20 {
 		for _, a := range n.names {
 			n.shares[a].Tick(epoch)
-			n.tellAll(a)
+			n.broadcast(a)
 		}
 	}
 	for range 2 {
 		for _, a := range n.names {
-			n.tellAll(a)
+			n.broadcast(a)
 		}
 	}
 }
 
-// tellAll brings the others what an entry has to tell.
-func (n *net) tellAll(a string) {
+// broadcast delivers an entry's queued messages and its present state to all others.
+func (n *network) broadcast(a string) {
 	for _, b := range n.names {
 		if a == b {
 			continue
@@ -228,14 +228,14 @@
 	}
 }
 
-// Entries come, make plans at once, and their messages are late or lost. If two
-// of them enlarged on what they last heard, the customer would run more than the
-// contract allows, at the others' expense.
+// Entries join and make plans concurrently, and their messages are delayed or lost. If
+// two of them enlarged their shares on outdated states, the customer would run more
+// tasks than the contract allows, at the expense of others.
 func TestSharesNeverExceedContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := uint32(rapid.IntRange(1, 40).Draw(t, "total"))
-		n := newNet()
-		n.join(total)
+		n := newNetwork()
+		n.addEntry(total)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			from := rapid.SampledFrom(n.names).Draw(t, "from")
 			to := rapid.SampledFrom(n.names).Draw(t, "to")
@@ -243,7 +243,7 @@
 			switch rapid.IntRange(0, 7).Draw(t, "action") {
 			case 0:
 				if len(n.names) < 4 {
-					n.join(total)
+					n.addEntry(total)
 				}
 			case 1:
 				s.SetDemand("c", uint32(rapid.IntRange(0, 50).Draw(t, "demand")))
@@ -262,53 +262,53 @@
 					n.using[from]--
 				}
 			}
-			if parts, using := n.sums(); parts > total || using > total {
-				t.Fatalf("parts %d, using %d of %d", parts, using, total)
+			if held, using := n.totals(); held > total || using > total {
+				t.Fatalf("shares of %d slots, %d in use, contract of %d", held, using, total)
 			}
 		}
 		for name := range n.using {
 			n.using[name] = 0
 		}
-		n.settle()
-		if parts, _ := n.sums(); parts != total {
-			t.Fatalf("after all messages arrived the parts are %d of %d", parts, total)
+		n.converge()
+		if held, _ := n.totals(); held != total {
+			t.Fatalf("after all messages were delivered the shares add up to %d of %d slots", held, total)
 		}
 	})
 }
 
 func TestSharesFollowDemand(t *testing.T) {
-	n := newNet()
+	n := newNetwork()
 	for range 3 {
-		n.join(90)
+		n.addEntry(90)
 	}
-	n.settle()
+	n.converge()
 	n.shares[n.names[0]].SetDemand("c", 200)
-	n.settle()
+	n.converge()
 	if slots, _ := n.shares[n.names[0]].Part("c"); slots < 70 {
-		t.Errorf("the only entry with work has %d of 90", slots)
+		t.Errorf("the only entry with demand has %d of 90 slots, want at least 70", slots)
 	}
-	// One entry leaves and the others take its part over.
+	// One entry leaves and the others take over its share.
 	gone := n.names[0]
 	n.names = n.names[1:]
 	delete(n.shares, gone)
 	for _, s := range n.shares {
 		s.Gone(gone)
 	}
-	n.settle()
-	if parts, _ := n.sums(); parts != 90 {
-		t.Errorf("parts after an entry left: %d of 90", parts)
+	n.converge()
+	if held, _ := n.totals(); held != 90 {
+		t.Errorf("after an entry left the shares add up to %d of 90 slots", held)
 	}
 	s := n.shares[n.names[0]]
 	s.SetFenced(true)
 	if slots, _ := s.Part("c"); slots != 0 {
-		t.Errorf("a fenced entry keeps %d slots", slots)
+		t.Errorf("a fenced entry holds %d slots, want 0", slots)
 	}
 }
 
-// An entry ends before another starts, which hears of it only by the plan in
-// force. Waiting for its consent would keep the new entry from ever starting a
-// task, and its callers would see nothing but timeouts.
-func TestSharesOutliveUnknownMember(t *testing.T) {
+// An entry ends before another one starts, which learns of it only from the plan in
+// force. If the new entry waited for that member's state, it would never start a task,
+// and its callers would see only timeouts.
+func TestSharesExpireUnconfirmedMember(t *testing.T) {
 	old := NewShares("a")
 	old.SetContract("c", 8)
 	old.AddMember("ended")
@@ -320,7 +320,7 @@
 	fresh.Receive(old.State(none), epoch)
 	old.Receive(fresh.State(none), epoch)
 	old.Gone("ended")
-	later := epoch.Add(unknownFor)
+	later := epoch.Add(unconfirmedTTL)
 	for range 4 {
 		old.Tick(later)
 		fresh.Receive(old.State(none), later)
@@ -357,24 +357,24 @@
 		{"burst", Contract{Rate: 10, Burst: 3, Concurrency: 10, MemoryBytes: 1000}, 3},
 		{"concurrency", Contract{Rate: 10, Burst: 10, Concurrency: 4, MemoryBytes: 1000}, 4},
 		{"memory", Contract{Rate: 10, Burst: 10, Concurrency: 10, MemoryBytes: 599}, 5},
-		{"zero means none", Contract{}, 0},
+		{"zero allows nothing", Contract{}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l := newLimiter(c.c)
 			if got := l.Allow(at, "c", tasks); got != c.want || int(l.Running("c")) != c.want {
-				t.Errorf("allowed %d, running %d, want %d", got, l.Running("c"), c.want)
+				t.Errorf("allowed %d, running %d, want %d of each", got, l.Running("c"), c.want)
 			}
 		})
 	}
 	if NewLimiter().Allow(at, "unknown", tasks) != 0 {
-		t.Error("an unknown contract may start tasks")
+		t.Error("Allow let a task of an unknown contract start")
 	}
 }
 
-// A part moves from one entry to another after the first has spent its burst.
-// If the second got a full bucket with it, the burst would be had twice.
-func TestLimiterMovedPartBringsNoTokens(t *testing.T) {
+// A share moves from one entry to another after the first has spent its burst. If the
+// second got a full bucket with the share, the burst could be used twice.
+func TestLimiterMovedShareCarriesNoTokens(t *testing.T) {
 	c := Contract{Name: "c", Rate: 1, Burst: 10, Concurrency: 10, MemoryBytes: 1}
 	l := NewLimiter()
 	l.SetContract(c, epoch)
@@ -382,10 +382,10 @@
 	at := epoch.Add(time.Hour)
 	l.SetPart("c", 10, 10, at)
 	if n := l.Allow(at, "c", make([]place.Task, 10)); n != 0 {
-		t.Errorf("%d starts at once", n)
+		t.Errorf("%d tasks may start at once, want 0", n)
 	}
-	if at, ok := l.Reopens("c", at); !ok || l.Allow(at, "c", make([]place.Task, 10)) != 1 {
-		t.Error("no start when the rate allows one")
+	if at, ok := l.NextStart("c", at); !ok || l.Allow(at, "c", make([]place.Task, 10)) != 1 {
+		t.Error("no task may start at the time that NextStart returned")
 	}
 }
 
@@ -398,13 +398,13 @@
 		want   jobs.Code
 		retry  bool
 	}{
-		{"taken", func(*Request) {}, "", false},
+		{"admitted", func(*Request) {}, "", false},
 		{"unknown", func(r *Request) { r.Contract = "x" }, jobs.CodeUnknownContract, false},
 		{"memory", func(r *Request) { r.MemoryBytes = 1001 }, jobs.CodeDoesNotFit, false},
 		{"no worker", func(r *Request) { r.LargestMemory, r.MemoryBytes = 500, 600 }, jobs.CodeDoesNotFit, false},
-		{"too short", func(r *Request) { r.MinRun = time.Minute }, jobs.CodeDeadline, false},
-		{"alone", func(r *Request) { r.Tasks, r.Entries = 100, 3 }, "", false},
-		{"more than may wait", func(r *Request) { r.Tasks = 101 }, jobs.CodeQueueFull, true},
+		{"deadline too short", func(r *Request) { r.MinRun = time.Minute }, jobs.CodeDeadline, false},
+		{"large job alone", func(r *Request) { r.Tasks, r.Entries = 100, 3 }, "", false},
+		{"more than the waiting limit", func(r *Request) { r.Tasks = 101 }, jobs.CodeQueueFull, true},
 		{"waiting", func(r *Request) { r.Waiting = 100 }, jobs.CodeQueueFull, true},
 		{"rate", func(r *Request) { r.Waiting, r.Left = 90, 5*time.Second }, jobs.CodeRateLimited, true},
 		{"overload", func(r *Request) { r.QueueWait = 2 * time.Minute }, jobs.CodeOverloaded, true},
@@ -419,7 +419,7 @@
 				refusal = &Refusal{}
 			}
 			if refusal.Code != c.want || (refusal.RetryAfter > 0) != c.retry {
-				t.Errorf("refusal %+v, want %q, retry %v", refusal, c.want, c.retry)
+				t.Errorf("refusal %+v, want code %q, retry %v", refusal, c.want, c.retry)
 			}
 		})
 	}
@@ -432,7 +432,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if l.Allow(at, "c", tasks) != 1 {
-			b.Fatal("not allowed")
+			b.Fatal("Allow refused a task within the limits")
 		}
 		l.Ended("c", 0)
 	}
--- a/dispatch/limit/limiter.go
+++ b/dispatch/limit/limiter.go
@@ -11,24 +11,25 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// Contract is what the limiter needs of a customer's contract.
+// Contract holds the limits of a customer's contract.
 type Contract struct {
 	Name string
-	// Rate is task starts per second, Burst how many may start at once after a
-	// pause.
+	// Rate is in task starts per second; Burst is how many tasks may start at once
+	// after a pause.
 	Rate        float64
 	Burst       uint32
 	Concurrency uint32
 	MemoryBytes uint64
-	// Waiting is the most tasks accepted and not started.
+	// Waiting is the maximum number of tasks that are accepted and not started.
 	Waiting uint32
 }
 
-// Refusal says why a job is not taken. It is true that nothing of the job ran:
-// it is made before any message about it.
+// Refusal is the reason why a job is not admitted. None of the job's tasks has run: a
+// refusal is made before any message about the job is sent.
 type Refusal struct {
 	Code jobs.Code
-	// RetryAfter is when asking again may help; zero: it won't.
+	// RetryAfter is the time after which a retry may succeed; zero means that it
+	// won't.
 	RetryAfter time.Duration
 	Message    string
 }
@@ -36,7 +37,7 @@
 // Error implements error.
 func (r *Refusal) Error() string { return string(r.Code) + ": " + r.Message }
 
-// usage is one contract at one entry.
+// usage is the state of one contract at one entry.
 type usage struct {
 	contract Contract
 	bucket   *rate.Limiter
@@ -44,55 +45,55 @@
 	total    uint32
 	running  uint32
 	memory   uint64
-	// blocked tells that Allow has let nothing through since the last change.
+	// blocked is set when Allow lets no task start, until a task ends or time passes.
 	blocked bool
 }
 
-// Limiter holds the contracts at one entry, each within the entry's part. It
+// Limiter enforces contracts at one entry, each within the entry's share. It
 // implements [place.Limiter]. Use [NewLimiter].
 type Limiter struct {
 	contracts map[string]*usage
 }
 
-// NewLimiter returns a limiter without contracts: nothing is allowed.
+// NewLimiter returns a limiter without contracts, which allows no task to start.
 func NewLimiter() *Limiter {
 	return &Limiter{contracts: make(map[string]*usage)}
 }
 
-// SetContract adds or changes a contract. Tasks that run stay counted.
+// SetContract adds or changes a contract. Running tasks stay counted.
 func (l *Limiter) SetContract(c Contract, now time.Time) {
 	u := l.contracts[c.Name]
 	if u == nil {
-		// An empty bucket: an entry that starts, or that gets a larger part,
-		// must not bring tokens that another entry has spent.
+		// The bucket starts empty: an entry that starts, or whose share grows, must
+		// not add tokens that another entry has already spent.
 		u = &usage{bucket: rate.NewLimiter(0, 0)}
 		l.contracts[c.Name] = u
 	}
 	u.contract = c
-	u.apply(now)
+	u.updateBucket(now)
 }
 
-// Remove forgets a contract. Its running tasks are no longer counted.
-func (l *Limiter) Remove(contract string) { delete(l.contracts, contract) }
+// RemoveContract removes a contract. Its running tasks are no longer counted.
+func (l *Limiter) RemoveContract(contract string) { delete(l.contracts, contract) }
 
-// SetPart sets the entry's part of a contract: slots out of total. It returns
-// whether the part has changed.
+// SetPart sets the entry's share of a contract: slots out of total. It returns
+// whether the share has changed.
 func (l *Limiter) SetPart(contract string, slots, total uint32, now time.Time) bool {
 	u := l.contracts[contract]
 	if u == nil || (u.slots == slots && u.total == total) {
 		return false
 	}
 	u.slots, u.total = slots, total
-	u.apply(now)
+	u.updateBucket(now)
 	return true
 }
 
-func (u *usage) apply(now time.Time) {
-	part := u.fraction()
-	u.bucket.SetLimitAt(now, rate.Limit(u.contract.Rate*part))
-	burst := int(float64(u.contract.Burst) * part)
-	if part > 0 && u.contract.Rate > 0 {
-		// A bucket of less than one task would never let one through.
+func (u *usage) updateBucket(now time.Time) {
+	share := u.fraction()
+	u.bucket.SetLimitAt(now, rate.Limit(u.contract.Rate*share))
+	burst := int(float64(u.contract.Burst) * share)
+	if share > 0 && u.contract.Rate > 0 {
+		// A bucket that holds less than one token would never let a task start.
 		burst = max(burst, 1)
 	}
 	u.bucket.SetBurstAt(now, burst)
@@ -137,8 +138,8 @@
 	return n
 }
 
-// Ended counts a task as ended, with the memory that was reserved for it. It
-// returns whether the contract was held back and may go on.
+// Ended records the end of a task and releases the memory that was reserved for it.
+// It returns whether the contract was blocked, which is cleared.
 func (l *Limiter) Ended(contract string, memory uint64) bool {
 	u := l.contracts[contract]
 	if u == nil {
@@ -146,28 +147,28 @@
 	}
 	u.running -= min(u.running, 1)
 	u.memory -= min(u.memory, memory)
-	return u.reopen()
+	return u.unblock()
 }
 
-func (u *usage) reopen() bool {
-	was := u.blocked
+func (u *usage) unblock() bool {
+	wasBlocked := u.blocked
 	u.blocked = false
-	return was
+	return wasBlocked
 }
 
-// Open calls f with each contract that was held back and may go on because time
-// has passed.
+// Open unblocks each blocked contract that may start tasks again because time has
+// passed, and calls f with it.
 func (l *Limiter) Open(now time.Time, f func(contract string)) {
 	for name, u := range l.contracts {
 		if u.blocked && u.running < u.concurrency() && u.bucket.TokensAt(now) >= 1 {
-			u.reopen()
+			u.unblock()
 			f(name)
 		}
 	}
 }
 
-// AnyAtPart reports whether some contract is held back by this entry's part of it
-// rather than by the contract itself.
+// AnyAtPart reports whether some contract is blocked of which this entry holds less
+// than the whole, so that a larger share could help.
 func (l *Limiter) AnyAtPart() bool {
 	for _, u := range l.contracts {
 		if u.blocked && u.slots < u.total {
@@ -177,7 +178,8 @@
 	return false
 }
 
-// Running returns a contract's tasks started here and not ended.
+// Running returns the number of a contract's tasks that were started here and have not
+// ended.
 func (l *Limiter) Running(contract string) uint32 {
 	if u := l.contracts[contract]; u != nil {
 		return u.running
@@ -185,57 +187,58 @@
 	return 0
 }
 
-// OpensAt returns when time alone lets a contract go on that was held back, zero
-// if there is none.
+// OpensAt returns the earliest time at which Open may unblock a contract, zero if time
+// alone unblocks none.
 func (l *Limiter) OpensAt(now time.Time) time.Time {
 	var at time.Time
 	for name, u := range l.contracts {
 		if !u.blocked {
 			continue
 		}
-		if opens, ok := l.Reopens(name, now); ok && (at.IsZero() || opens.Before(at)) {
+		if opens, ok := l.NextStart(name, now); ok && (at.IsZero() || opens.Before(at)) {
 			at = opens
 		}
 	}
 	return at
 }
 
-// Reopens returns when the rate lets the next task of a contract through, or
-// false if time alone does not help.
-func (l *Limiter) Reopens(contract string, now time.Time) (time.Time, bool) {
+// NextStart returns when the rate allows the next task of a contract to start, or
+// false if time alone does not allow it.
+func (l *Limiter) NextStart(contract string, now time.Time) (time.Time, bool) {
 	u := l.contracts[contract]
 	if u == nil || u.bucket.Limit() <= 0 || u.running >= u.concurrency() {
 		return time.Time{}, false
 	}
-	missing := max(1-u.bucket.TokensAt(now), 0)
-	return now.Add(time.Duration(math.Ceil(missing / float64(u.bucket.Limit()) * float64(time.Second)))), true
+	missingTokens := max(1-u.bucket.TokensAt(now), 0)
+	return now.Add(time.Duration(math.Ceil(missingTokens / float64(u.bucket.Limit()) * float64(time.Second)))), true
 }
 
 // Request describes a job on arrival.
 type Request struct {
 	Contract string
 	Tasks    int
-	// MemoryBytes is what its largest task needs, LargestMemory what the largest
-	// worker has.
+	// MemoryBytes is the memory of its largest task, LargestMemory that of the
+	// largest worker.
 	MemoryBytes, LargestMemory uint64
-	// Left is what remains to the deadline.
+	// Left is the time left until the deadline. If it is not positive, the job has no
+	// deadline.
 	Left time.Duration
-	// MinRun is the least run time, LikelyRun the usual one; zero if unknown.
+	// MinRun is the shortest run time, LikelyRun the usual one; zero if unknown.
 	MinRun, LikelyRun time.Duration
 	// Work is the sum of the tasks' expected run times.
 	Work time.Duration
-	// Waiting are the contract's tasks that wait here, QueueWait how long the
-	// queue expects the job to wait for slots.
+	// Waiting is the number of the contract's tasks that wait here, QueueWait the
+	// time that the job is expected to wait for slots.
 	Waiting   int
 	QueueWait time.Duration
-	// Entries is how many entries there are.
+	// Entries is the number of entries.
 	Entries int
 }
 
-// minRetryAfter keeps callers from asking again at once.
+// minRetryAfter keeps callers from retrying at once.
 const minRetryAfter = 50 * time.Millisecond
 
-// Admit returns nil, or why the job is refused.
+// Admit returns nil if the job is admitted, or else the reason for its refusal.
 func (l *Limiter) Admit(r Request, now time.Time) *Refusal {
 	u := l.contracts[r.Contract]
 	if u == nil {
@@ -254,32 +257,32 @@
 	if r.Left > 0 && r.Left <= r.MinRun {
 		return &Refusal{Code: jobs.CodeDeadline, Message: fmt.Sprintf("the deadline is shorter than the least run time, %v", r.MinRun)}
 	}
-	limitWait := u.wait(r, now)
+	limitWait := u.estimateWait(r, now)
 	if r.Tasks > int(c.Waiting) || (r.Waiting > 0 && r.Waiting+r.Tasks > u.waitingLimit(r.Entries)) {
 		return &Refusal{Code: jobs.CodeQueueFull, RetryAfter: max(limitWait, r.QueueWait, minRetryAfter), Message: "too many tasks of the contract wait"}
 	}
 	if r.Left <= 0 {
 		return nil
 	}
-	if late := limitWait + r.LikelyRun - r.Left; limitWait > 0 && late >= 0 {
-		return &Refusal{Code: jobs.CodeRateLimited, RetryAfter: max(late, minRetryAfter), Message: "at the contract's limits the deadline can't be met"}
+	if overrun := limitWait + r.LikelyRun - r.Left; limitWait > 0 && overrun >= 0 {
+		return &Refusal{Code: jobs.CodeRateLimited, RetryAfter: max(overrun, minRetryAfter), Message: "at the contract's limits the deadline can't be met"}
 	}
-	if late := r.QueueWait + r.LikelyRun - r.Left; r.QueueWait > 0 && late >= 0 {
-		return &Refusal{Code: jobs.CodeOverloaded, RetryAfter: max(late, minRetryAfter), Message: "the deadline can't be met at the present load"}
+	if overrun := r.QueueWait + r.LikelyRun - r.Left; r.QueueWait > 0 && overrun >= 0 {
+		return &Refusal{Code: jobs.CodeOverloaded, RetryAfter: max(overrun, minRetryAfter), Message: "the deadline can't be met at the present load"}
 	}
 	return nil
 }
 
-// waitingLimit is the entry's part of the waiting limit: what its part of the
-// contract gives, and no less than an even part, since an entry that has just
-// started holds no part yet. A job alone may always wait.
+// waitingLimit returns the entry's share of the limit on waiting tasks, in proportion
+// to its share of the contract. It is no less than an even share, since an entry that
+// has just started holds no share yet. Admit applies it only if other tasks wait.
 func (u *usage) waitingLimit(entries int) int {
 	even := 1 / float64(max(entries, 1))
 	return int(math.Ceil(float64(u.contract.Waiting) * max(u.fraction(), even)))
 }
 
-// wait is how long the contract's own limits keep the job's last task waiting.
-func (u *usage) wait(r Request, now time.Time) time.Duration {
+// estimateWait estimates how long the contract's own limits delay the job's last task.
+func (u *usage) estimateWait(r Request, now time.Time) time.Duration {
 	tasks := float64(r.Waiting + r.Tasks)
 	var byRate, bySlots float64
 	if limit := float64(u.bucket.Limit()); limit > 0 {
--- a/dispatch/limit/shared.go
+++ b/dispatch/limit/shared.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Verdict is what becomes of a start at an agent.
+// Verdict is an agent's decision on a start.
 type Verdict uint8
 
 const (
@@ -18,80 +18,81 @@
 	Queue
 )
 
-// SharedOptions tunes shared slots.
+// SharedOptions configures shared slots.
 type SharedOptions struct {
-	// Slots of the endpoint.
+	// Slots is the number of slots of the endpoint.
 	Slots int
-	// MaxQueued bounds the units of each entry that wait for a slot; one task of
-	// more units may wait alone. Not positive: nothing waits.
+	// MaxQueued limits the units of each entry that wait for a slot; a single task
+	// of more units may wait alone. If it is not positive, nothing waits.
 	MaxQueued int
 }
 
-// Shared offers every slot of one endpoint to each entry linked to it: no credit
-// ever has to move between entries. Entries choose agents by the spare slots that
-// each frame tells them. When two choose the same slot at once, one task waits at
-// the agent for a moment. At overload each entry keeps a task or so waiting at each
-// agent, so that a slot goes to the most urgent of all entries' tasks and not to the
-// entry that had it before. Use [NewShared].
+// Shared offers every slot of one endpoint to each entry linked to it, so that no
+// credit ever moves between entries. Entries choose agents by the free slots that
+// each frame reports. When two entries choose the same slot at once, one of the tasks
+// waits at the agent for a moment. Under overload each entry keeps about one task
+// waiting at each agent, so that a slot goes to the most urgent task of all entries
+// and not to the entry that used it last. Use [NewShared].
 type Shared struct {
 	options SharedOptions
 	running int
 	queued  int
-	entries map[string]*sharer
-	order   []*sharer
+	entries map[string]*slotUser
+	order   []*slotUser
 }
 
-// sharer is one entry's side.
-type sharer struct {
+// slotUser is the state of one linked entry.
+type slotUser struct {
 	entry   string
 	granted int
-	// using are units running or queued, queued those of them that wait.
+	// using is the number of units running or queued, queued that of the waiting
+	// ones among them.
 	using  int
 	queued int
 }
 
-// NewShared returns shared slots that are all free.
+// NewShared returns shared slots, all of them free.
 func NewShared(options SharedOptions) *Shared {
-	return &Shared{options: options, entries: make(map[string]*sharer)}
+	return &Shared{options: options, entries: make(map[string]*slotUser)}
 }
 
-// Link adds an entry, or begins anew with one whose link was replaced.
+// Link adds an entry, or resets the credits of one whose link was replaced.
 func (s *Shared) Link(entry string, _ time.Time) {
 	h := s.entries[entry]
 	if h == nil {
-		h = &sharer{entry: entry}
+		h = &slotUser{entry: entry}
 		s.entries[entry] = h
-		pos, _ := slices.BinarySearchFunc(s.order, entry, func(o *sharer, e string) int { return cmp.Compare(o.entry, e) })
+		pos, _ := slices.BinarySearchFunc(s.order, entry, func(o *slotUser, e string) int { return cmp.Compare(o.entry, e) })
 		s.order = slices.Insert(s.order, pos, h)
 	}
 	h.granted = 0
 }
 
-// Unlink takes an entry's credits back. Its running and queued tasks go on.
+// Unlink removes an entry and its credits. Its running and queued tasks continue.
 func (s *Shared) Unlink(entry string) {
 	h := s.entries[entry]
 	if h == nil {
 		return
 	}
 	delete(s.entries, entry)
-	s.order = slices.DeleteFunc(s.order, func(o *sharer) bool { return o == h })
+	s.order = slices.DeleteFunc(s.order, func(o *slotUser) bool { return o == h })
 }
 
-// SetWant does nothing: nobody holds what another wants.
+// SetWant does nothing: no entry holds slots that another one wants.
 func (s *Shared) SetWant(string, int) {}
 
-// Returned takes back credits that an entry gave up.
+// Returned removes credits that an entry returned.
 func (s *Shared) Returned(entry string, n int) { s.Unused(entry, n) }
 
-// Unused takes back the credits of a start that used none: it was refused, or a
-// repetition.
+// Unused removes the credits that an entry spent on a start that needs no slot
+// because it was refused or is a duplicate.
 func (s *Shared) Unused(entry string, units int) {
 	if h := s.entries[entry]; h != nil {
 		h.granted = max(h.granted-units, 0)
 	}
 }
 
-// Start says what becomes of an entry's start.
+// Start decides on an entry's start and reserves its units unless it is refused.
 func (s *Shared) Start(entry string, units int) Verdict {
 	h := s.entries[entry]
 	if h == nil || units > s.options.Slots {
@@ -114,31 +115,31 @@
 	return verdict
 }
 
-// Dequeue moves units from the queue to the running ones, and returns false if
-// there is no room for them.
+// Dequeue counts queued units as running. It returns false if too few slots are
+// free.
 func (s *Shared) Dequeue(entry string, units int) bool {
 	if s.running+units > s.options.Slots {
 		return false
 	}
-	s.unqueue(entry, units)
+	s.removeQueued(entry, units)
 	s.running += units
 	return true
 }
 
-// Cancel drops units from the queue. Entry may be gone.
+// Cancel removes units from the queue. The entry may be unlinked already.
 func (s *Shared) Cancel(entry string, units int) {
-	s.unqueue(entry, units)
-	s.unuse(entry, units)
+	s.removeQueued(entry, units)
+	s.removeUsing(entry, units)
 }
 
-func (s *Shared) unqueue(entry string, units int) {
+func (s *Shared) removeQueued(entry string, units int) {
 	s.queued -= units
 	if h := s.entries[entry]; h != nil {
 		h.queued = max(h.queued-units, 0)
 	}
 }
 
-// Queued returns the units of an entry that wait.
+// Queued returns the number of an entry's waiting units.
 func (s *Shared) Queued(entry string) int {
 	if h := s.entries[entry]; h != nil {
 		return h.queued
@@ -146,19 +147,20 @@
 	return 0
 }
 
-// End frees the slots of a task that ended. Entry may be gone.
+// End frees the slots of a task that ended. The entry may be unlinked already.
 func (s *Shared) End(entry string, units int) {
 	s.running -= units
-	s.unuse(entry, units)
+	s.removeUsing(entry, units)
 }
 
-func (s *Shared) unuse(entry string, units int) {
+func (s *Shared) removeUsing(entry string, units int) {
 	if h := s.entries[entry]; h != nil {
 		h.using = max(h.using-units, 0)
 	}
 }
 
-// Sticky gives an entry its credits back, to ride on the news of what used them.
+// Sticky grants an entry the credits again that a task has used and returns their
+// number; they are sent in the same frame as the task's result.
 func (s *Shared) Sticky(entry string, units int) int {
 	h := s.entries[entry]
 	if h == nil {
@@ -169,7 +171,8 @@
 	return n
 }
 
-// Balance tops up each entry's credits to all slots.
+// Balance tops up each entry's credits so that they cover all slots, and appends the
+// grants to changes.
 func (s *Shared) Balance(_ time.Time, changes []Grant) []Grant {
 	for _, h := range s.order {
 		if n := s.Sticky(h.entry, s.options.Slots); n > 0 {
@@ -182,6 +185,6 @@
 // RecallAt returns zero: nothing is recalled.
 func (s *Shared) RecallAt() time.Time { return time.Time{} }
 
-// Free returns the slots that run no task, less what waits for them. It is
-// negative when more waits than is free.
+// Free returns the number of slots that run no task, minus the units that wait for
+// one. It is negative when more units wait than slots are free.
 func (s *Shared) Free() int { return s.options.Slots - s.running - s.queued }
--- a/dispatch/limit/shares.go
+++ b/dispatch/limit/shares.go
@@ -7,60 +7,62 @@
 	"time"
 )
 
-// PlanID orders plans: the higher number wins, then the allocator's name.
+// PlanID orders plans: the higher number wins, then the higher name of the allocator.
 type PlanID struct {
 	Number    uint64
 	Allocator string
 }
 
-// Compare orders plan ids.
+// Compare returns -1, 0 or +1 as p is lower than, equal to or higher than o.
 func (p PlanID) Compare(o PlanID) int {
 	return cmp.Or(cmp.Compare(p.Number, o.Number), cmp.Compare(p.Allocator, o.Allocator))
 }
 
-// Parts maps a contract to the slots of its concurrency that an entry holds. All
-// other limits of the contract follow in proportion.
+// Parts maps a contract to a number of slots of its concurrency, mostly the share
+// that an entry holds. The contract's other limits are divided in proportion.
 type Parts map[string]uint32
 
 // Plan divides each contract's concurrency between entries.
 type Plan struct {
 	ID PlanID
-	// Total is the concurrency of each contract that the plan divided.
+	// Total is the concurrency of each contract that the plan divides.
 	Total Parts
-	// Entries maps an entry's incarnation to its parts.
+	// Entries maps an entry's incarnation to its shares.
 	Entries map[string]Parts
 }
 
-// ShareState is what an entry tells the others.
+// ShareState is the state that an entry advertises to the others.
 type ShareState struct {
 	Entry   string
 	Adopted PlanID
 	// Held is the most that the entry may use until it adopts another plan, or
 	// what it still uses if that is more.
 	Held Parts
-	// Demand is the slots that it could use: running and waiting tasks.
+	// Demand is the number of slots that the entry could use: one for each running
+	// or waiting task.
 	Demand Parts
-	// Plan is the plan the entry adopted; nil when the receiver has it.
+	// Plan is the plan that the entry adopted, nil if the receiver has it.
 	Plan *Plan
 }
 
 // Shares is one entry's view of how contracts are divided between the entries.
 //
 // The entry with the lowest name makes plans. Every entry adopts a higher plan
-// when it sees it and shrinks at once; it enlarges a part only after each other
-// member was seen to have adopted this very plan and to hold no more than the
-// plan gives it. A member with a later plan does not do: it may never have seen
-// this one, and so not know of the entries that this one names. So the parts
-// never exceed the contract, also when two entries make plans at once or messages
-// are lost or late: while entries cannot reach each other, parts stay as they are
-// or shrink.
+// when it receives one and shrinks its shares at once. It enlarges a share only after
+// every other member has reported that it adopted this same plan and holds no more
+// than the plan grants it. A member with a later plan does not count: it may never
+// have received this plan, and so not know the entries that this plan names.
+// Therefore the sum of the shares never exceeds the contract, even if two entries
+// make plans at once or messages are lost or delayed: while entries cannot reach each
+// other, shares stay as they are or shrink.
 //
-// The caller must name members before the entry serves, having announced itself
-// first, so that of two entries that start together one sees the other. It must
-// call Gone only with proof that the entry starts nothing any more, and must
-// call SetFenced when its own lease has lapsed, which others may take for such
-// proof. The bound: starts within a contract never exceed it; running tasks may,
-// by those that a fenced entry started before and that have not ended.
+// The caller must announce the entry first, and then add the members before the entry
+// serves, so that of two entries that start together at least one sees the other. It
+// must call Gone only with proof that the entry starts no more tasks, and must call
+// SetFenced when its own lease has lapsed, which others may take as such proof.
+//
+// What is guaranteed: new starts never take a contract over its limit. Running tasks
+// may exceed it by those that a fenced entry started earlier and that have not ended.
 //
 // Use [NewShares].
 type Shares struct {
@@ -71,26 +73,28 @@
 	held    Parts
 	demand  Parts
 	fenced  bool
-	// learned holds the members known only from a plan, and since when.
-	learned map[string]time.Time
-	// highest is the highest plan number seen.
-	highest uint64
-	// turn rotates which entries get a slot when there are fewer than entries.
-	turn    int
-	planFor []string
-	// ticks counts since the plan in force was made.
+	// unconfirmed maps members known only from a plan to the time since when.
+	unconfirmed map[string]time.Time
+	// highestNumber is the highest plan number seen.
+	highestNumber uint64
+	// rotation changes which entries get a slot when there are fewer slots than
+	// entries.
+	rotation int
+	// planMembers are the members for which this entry last made a plan.
+	planMembers []string
+	// ticks counts the calls of makePlan since this entry last made a plan.
 	ticks int
 }
 
-// NewShares returns the shares of an entry that holds nothing yet.
+// NewShares returns the shares of an entry that holds no slots yet.
 func NewShares(self string) *Shares {
 	return &Shares{
-		self:    self,
-		totals:  Parts{},
-		members: map[string]*ShareState{self: {Entry: self}},
-		held:    Parts{},
-		demand:  Parts{},
-		learned: map[string]time.Time{},
+		self:        self,
+		totals:      Parts{},
+		members:     map[string]*ShareState{self: {Entry: self}},
+		held:        Parts{},
+		demand:      Parts{},
+		unconfirmed: map[string]time.Time{},
 	}
 }
 
@@ -104,58 +108,58 @@
 	s.totals[contract] = concurrency
 }
 
-// AddMember adds an entry that may hold parts. Until it was heard, nobody enlarges.
+// AddMember adds an entry that may hold shares. This entry enlarges no share until it
+// has received the new member's state.
 func (s *Shares) AddMember(entry string) {
-	delete(s.learned, entry)
+	delete(s.unconfirmed, entry)
 	if s.members[entry] == nil {
 		s.members[entry] = &ShareState{Entry: entry}
 	}
 }
 
-// Gone removes an entry that is proven to start nothing any more.
+// Gone removes an entry that is proven to start no more tasks.
 func (s *Shares) Gone(entry string) {
 	if entry != s.self {
 		delete(s.members, entry)
-		delete(s.learned, entry)
+		delete(s.unconfirmed, entry)
 	}
 }
 
-// unknownFor is how long an entry counts as a member that a plan names and the
-// caller does not: it may have come too recently for the caller to know it. An
-// entry that has ended before this one started is named so too, and without an
-// end to the wait nobody could enlarge until the next plan.
-const unknownFor = 3 * time.Second
+// unconfirmedTTL is how long an entry counts as a member that a plan names but the
+// caller has not added: it may have started too recently for the caller to know it.
+// A plan may also name an entry that ended before this one started. Without a time
+// limit that entry would keep all others from enlarging until the next plan.
+const unconfirmedTTL = 3 * time.Second
 
-func (s *Shares) dropUnknown(now time.Time) {
-	for entry, since := range s.learned {
-		if now.Sub(since) >= unknownFor {
+func (s *Shares) expireUnconfirmed(now time.Time) {
+	for entry, since := range s.unconfirmed {
+		if now.Sub(since) >= unconfirmedTTL {
 			s.Gone(entry)
 		}
 	}
 }
 
-// SetFenced takes all parts away, or gives them back, when the entry's lease
-// has lapsed or is in force again.
+// SetFenced withdraws all shares when the entry's lease has lapsed, or restores them
+// when it is in force again.
 func (s *Shares) SetFenced(fenced bool) { s.fenced = fenced }
 
-// SetDemand sets the slots that this entry could use of a contract.
+// SetDemand sets how many slots of a contract this entry could use.
 func (s *Shares) SetDemand(contract string, slots uint32) { s.demand[contract] = slots }
 
-// Part returns what this entry may use of a contract, as a fraction: slots out
-// of total.
+// Part returns this entry's share of a contract as a fraction: slots out of total.
 func (s *Shares) Part(contract string) (slots, total uint32) {
 	total = s.totals[contract]
 	planned := s.plan.Total[contract]
 	if s.fenced || planned == 0 || total == 0 {
 		return 0, total
 	}
-	// The contract may have changed since the plan: scaling down by floor keeps
-	// the sum within the new total.
+	// The contract may have changed since the plan was made. Rounding down keeps the
+	// sum of the scaled shares within the new total.
 	return uint32(uint64(s.held[contract]) * uint64(total) / uint64(planned)), total
 }
 
-// Promised reports whether the plan gives this entry more than it may use yet, of
-// a contract that it has work for.
+// Promised reports whether the plan grants this entry more slots than it may use yet
+// of some contract for which it has demand beyond its share.
 func (s *Shares) Promised() bool {
 	for contract, slots := range s.plan.Entries[s.self] {
 		if slots > s.held[contract] && s.demand[contract] > s.held[contract] {
@@ -165,8 +169,9 @@
 	return false
 }
 
-// State returns what to tell the others. Using gives the slots in use of each
-// contract: an entry above its new part holds on to the difference until tasks end.
+// State returns the state to send to the others. The function using returns a
+// contract's slots in use: an entry that uses more than its new share keeps holding
+// the difference until tasks end.
 func (s *Shares) State(using func(contract string) uint32) ShareState {
 	state := ShareState{
 		Entry:   s.self,
@@ -182,8 +187,8 @@
 	return state
 }
 
-// Receive takes another entry's state. States of one entry must come in the
-// order in which they were made.
+// Receive applies another entry's state. The states of an entry must be passed in the
+// order in which that entry made them.
 func (s *Shares) Receive(state ShareState, now time.Time) {
 	if state.Entry == s.self {
 		return
@@ -197,21 +202,21 @@
 	s.enlarge()
 }
 
-// Tick makes a plan if this entry is the one to do so and demand has moved. It
-// returns whether parts changed.
+// Tick makes a plan if this entry is the allocator and demand has changed enough. It
+// returns whether a plan was adopted or a share enlarged.
 func (s *Shares) Tick(now time.Time) bool {
-	s.dropUnknown(now)
+	s.expireUnconfirmed(now)
 	before := s.plan.ID
 	names := slices.Sorted(maps.Keys(s.members))
-	if names[0] == s.self && s.settled() {
+	if names[0] == s.self && s.allAdopted() {
 		s.makePlan(names, now)
 	}
 	return s.enlarge() || s.plan.ID != before
 }
 
-// settled reports whether every member has adopted the plan in force: a new plan
-// before that would only postpone the day on which someone may enlarge.
-func (s *Shares) settled() bool {
+// allAdopted reports whether every member that has a plan has adopted the one in
+// force. A new plan before that would only postpone the enlarging of shares.
+func (s *Shares) allAdopted() bool {
 	for name, m := range s.members {
 		if name != s.self && m.Adopted.Compare(s.plan.ID) < 0 && m.Adopted.Number > 0 {
 			return false
@@ -220,45 +225,45 @@
 	return true
 }
 
-// rotateTicks is how long a plan lasts that leaves an entry without any slot of a
-// contract that it has work for: then it is another's turn.
+// rotateTicks is how many ticks a plan stays in force that leaves some entry with
+// demand for a contract without any slot of it. Then the slots rotate to others.
 const rotateTicks = 8
 
 func (s *Shares) makePlan(names []string, now time.Time) {
 	s.ticks++
-	if s.ticks >= rotateTicks && s.leavesOut() {
-		s.turn++
+	if s.ticks >= rotateTicks && s.starvesMember() {
+		s.rotation++
 	}
-	goal := make(map[string]Parts, len(names))
+	target := make(map[string]Parts, len(names))
 	for _, name := range names {
-		goal[name] = Parts{}
+		target[name] = Parts{}
 	}
 	for _, contract := range slices.Sorted(maps.Keys(s.totals)) {
-		s.divide(contract, names, goal)
+		s.divide(contract, names, target)
 	}
-	if slices.Equal(names, s.planFor) && s.plan.ID.Allocator == s.self && !s.moved(goal) {
+	if slices.Equal(names, s.planMembers) && s.plan.ID.Allocator == s.self && !s.needsReplan(target) {
 		return
 	}
-	s.planFor, s.ticks = names, 0
+	s.planMembers, s.ticks = names, 0
 	s.adopt(Plan{
-		ID:      PlanID{Number: max(s.highest, s.plan.ID.Number) + 1, Allocator: s.self},
+		ID:      PlanID{Number: max(s.highestNumber, s.plan.ID.Number) + 1, Allocator: s.self},
 		Total:   maps.Clone(s.totals),
-		Entries: goal,
+		Entries: target,
 	}, now)
 }
 
-// moveShare is the part of a contract, as a divisor, that must move for a new
-// plan: smaller changes are not worth the messages.
-const moveShare = 16
+// replanDivisor sets the change that triggers a new plan: more than the contract's
+// slots divided by it. Smaller changes are not worth the messages.
+const replanDivisor = 16
 
-func (s *Shares) moved(goal map[string]Parts) bool {
+func (s *Shares) needsReplan(target map[string]Parts) bool {
 	if !maps.Equal(s.plan.Total, s.totals) {
 		return true
 	}
-	for name, parts := range goal {
-		for contract, slots := range parts {
+	for name, share := range target {
+		for contract, slots := range share {
 			old := s.plan.Entries[name][contract]
-			if max(slots, old)-min(slots, old) > s.totals[contract]/moveShare {
+			if max(slots, old)-min(slots, old) > s.totals[contract]/replanDivisor {
 				return true
 			}
 		}
@@ -266,9 +271,9 @@
 	return false
 }
 
-// leavesOut reports whether the plan in force gives nothing to some entry with
-// demand.
-func (s *Shares) leavesOut() bool {
+// starvesMember reports whether the plan in force grants some member with demand for
+// a contract no slot of it.
+func (s *Shares) starvesMember() bool {
 	for name := range s.members {
 		for contract := range s.totals {
 			if s.demandOf(name, contract) > 0 && s.plan.Entries[name][contract] == 0 {
@@ -279,37 +284,37 @@
 	return false
 }
 
-// floorShare is the part of an even share, as a divisor, that an entry keeps
-// without demand, so that its next task need not wait for a plan.
-const floorShare = 4
+// floorDivisor sets the slots that an entry keeps without demand: an even share
+// divided by it, so that the entry's next task need not wait for a plan.
+const floorDivisor = 4
 
-// divide splits one contract: a floor for each entry, then what each demands,
-// least first, then the rest evenly.
-func (s *Shares) divide(contract string, names []string, goal map[string]Parts) {
+// divide splits one contract: a floor for each entry, then the slots that each
+// demands, lowest demand first, then the rest evenly.
+func (s *Shares) divide(contract string, names []string, target map[string]Parts) {
 	total := s.totals[contract]
 	n := uint32(len(names))
-	left := total
+	remaining := total
 	for i := range names {
-		name := names[(i+s.turn)%len(names)]
-		floor := min(max(total/n/floorShare, 1), left)
-		goal[name][contract] = floor
-		left -= floor
+		name := names[(i+s.rotation)%len(names)]
+		floor := min(max(total/n/floorDivisor, 1), remaining)
+		target[name][contract] = floor
+		remaining -= floor
 	}
 	byDemand := slices.Clone(names)
 	slices.SortStableFunc(byDemand, func(a, b string) int {
 		return cmp.Compare(s.demandOf(a, contract), s.demandOf(b, contract))
 	})
 	for i, name := range byDemand {
-		fair := left / uint32(len(byDemand)-i)
-		have := goal[name][contract]
-		more := min(max(s.demandOf(name, contract), have)-have, fair)
-		goal[name][contract] += more
-		left -= more
+		fair := remaining / uint32(len(byDemand)-i)
+		current := target[name][contract]
+		extra := min(max(s.demandOf(name, contract), current)-current, fair)
+		target[name][contract] += extra
+		remaining -= extra
 	}
 	for i, name := range byDemand {
-		more := left / uint32(len(byDemand)-i)
-		goal[name][contract] += more
-		left -= more
+		extra := remaining / uint32(len(byDemand)-i)
+		target[name][contract] += extra
+		remaining -= extra
 	}
 }
 
@@ -320,15 +325,16 @@
 	return s.members[entry].Demand[contract]
 }
 
-// adopt takes a higher plan and shrinks to it at once.
+// adopt puts a plan in force if it is higher, and shrinks this entry's shares to it at
+// once.
 func (s *Shares) adopt(plan Plan, now time.Time) {
-	s.highest = max(s.highest, plan.ID.Number)
+	s.highestNumber = max(s.highestNumber, plan.ID.Number)
 	if plan.ID.Compare(s.plan.ID) <= 0 {
 		return
 	}
-	for name := range s.learned {
+	for name := range s.unconfirmed {
 		if plan.Entries[name] == nil && plan.ID.Allocator == s.plan.ID.Allocator {
-			// The one that named it has proof that it is gone.
+			// The allocator that named the entry now has proof that it is gone.
 			s.Gone(name)
 		}
 	}
@@ -336,20 +342,21 @@
 	for name := range plan.Entries {
 		if s.members[name] == nil {
 			s.AddMember(name)
-			s.learned[name] = now
+			s.unconfirmed[name] = now
 		}
 	}
-	mine := plan.Entries[s.self]
+	own := plan.Entries[s.self]
 	for contract, slots := range s.held {
-		s.held[contract] = min(slots, mine[contract])
+		s.held[contract] = min(slots, own[contract])
 	}
 }
 
-// enlarge takes what the plan gives once all others are seen to keep to it.
+// enlarge raises shares to what the plan grants where all other members conform to
+// it. It returns whether a share changed.
 func (s *Shares) enlarge() bool {
 	changed := false
 	for contract, slots := range s.plan.Entries[s.self] {
-		if s.held[contract] < slots && s.othersKeepTo(contract) {
+		if s.held[contract] < slots && s.othersConform(contract) {
 			s.held[contract] = slots
 			changed = true
 		}
@@ -357,7 +364,9 @@
 	return changed
 }
 
-func (s *Shares) othersKeepTo(contract string) bool {
+// othersConform reports whether every other member has adopted the plan in force and
+// holds no more of the contract than the plan grants it.
+func (s *Shares) othersConform(contract string) bool {
 	for name, m := range s.members {
 		if name == s.self {
 			continue
