--- a/dispatch/gossip/gossip.go
+++ b/dispatch/gossip/gossip.go
@@ -1,11 +1,12 @@
-// Package gossip keeps one entry's view of which entries live. An entry exchanges with
-// some others only, so what it costs hardly grows with their number: with a thousand
-// entries it has about twenty partners. What one partner finds travels from pair to
-// pair as records, the newest of which counts (a last-writer-wins map); at rest the two
-// of a pair compare digests and nothing travels.
+// Package gossip keeps one entry's view of which entries are alive. An entry exchanges
+// with only some of the others, its partners, so that its cost grows slowly with their
+// number: among a thousand entries it has about twenty partners. What an entry detects
+// spreads from pair to pair as records, of which the newest wins (a last-writer-wins
+// map). While nothing changes, partners compare digests and send no records.
 //
-// A view is a hint: whom to link to, to ask, or to tell. No promise rests on it. It does
-// no I/O and reads no clock; callers serialize all calls.
+// A view is only a hint on which entries to link to, query or notify; no guarantee
+// depends on it. The package does no I/O and reads no clock; callers must serialize all
+// calls.
 package gossip
 
 import (
@@ -19,143 +20,147 @@
 )
 
 const (
-	// FullMesh is up to how many others an entry exchanges with each of them.
-	FullMesh = 12
-	// LostAfter is how long a partner that isn't heard counts as living: two exchanges.
+	// MaxFullMesh is the highest number of other entries at which an entry exchanges
+	// with all of them.
+	MaxFullMesh = 12
+	// LostAfter is how long a partner counts as alive without contact: two exchange
+	// periods.
 	LostAfter = 2 * time.Second
-	// vouchFor is how long after it was heard directly an entry is vouched for against
-	// another's finding that it is lost: half of LostAfter, which is one exchange. The
-	// other one has not heard it for LostAfter, and it may have answered here last.
-	vouchFor = LostAfter / 2
-	// ForgetAfter is how long an entry that is lost is remembered, and an address
-	// without an entry behind it tried.
-	ForgetAfter = time.Minute
-	// paused is the time between two ticks that shows that this process stood still.
-	paused = time.Second
+	// recentContact is how long after direct contact a partner is kept alive although a
+	// record of another entry says that it is lost. It is half of LostAfter, one exchange
+	// period: the other entry had no contact for LostAfter, and the partner may have
+	// answered here since.
+	recentContact = LostAfter / 2
+	// ExpireAfter is how long the record of a lost entry is kept, and how long an
+	// address is tried at which no entry has answered.
+	ExpireAfter = time.Minute
+	// pauseThreshold is the time between two ticks that indicates that this process was
+	// suspended.
+	pauseThreshold = time.Second
 )
 
-// Record is what is known of one entry. Of two, the one with the higher generation
-// counts, and of two with the same, the one that says lost.
+// Record is the state of one entry as it is exchanged. Of two records the one with the
+// higher generation wins, and with equal generations the one with Lost set.
 type Record struct {
 	Address    string
 	Generation uint64
 	Lost       bool
 }
 
-func (r Record) newer(than Record) bool {
-	if r.Generation != than.Generation {
-		return r.Generation > than.Generation
+func (r Record) supersedes(other Record) bool {
+	if r.Generation != other.Generation {
+		return r.Generation > other.Generation
 	}
-	return r.Lost && !than.Lost
+	return r.Lost && !other.Lost
 }
 
-type known struct {
+type member struct {
 	Record
-	heard time.Time // directly
-	// awaited is from when on its silence counts: it was heard, became a partner, or
-	// another entry told that it lives.
-	awaited time.Time
-	lostAt  time.Time
+	lastContact time.Time // the last direct exchange
+	// timeoutStart is the time from which LostAfter is measured: the last contact, the
+	// time at which it became a partner, or at which a record reported it alive.
+	timeoutStart time.Time
+	lostAt       time.Time
 }
 
-// View is what one entry knows of all.
+// View is one entry's view of all entries. Use [New].
 type View struct {
-	self    Record
-	fixed   []string // addresses that are tried for ever
-	all     map[string]*known
-	tried   map[string]time.Time // addresses without a record, since when
-	ticked  time.Time
-	living  []string
-	ring    map[string]bool // partners among the living
-	digest  uint64
-	changes uint64
+	self       Record
+	seeds      []string // addresses that are tried without a time limit
+	members    map[string]*member
+	candidates map[string]time.Time // addresses without a record, by the time of their last discovery
+	lastTick   time.Time
+	alive      []string
+	partners   map[string]bool // alive entries with which this one exchanges
+	digest     uint64
+	changes    uint64
 }
 
-// New returns the view of an entry that knows itself. The generation must be higher
-// than that of an earlier process at the address, or the others take its entry for
-// lost until they hear it: a time of day serves. Fixed are addresses that are tried
-// for ever.
-func New(address string, generation uint64, fixed []string) *View {
-	v := &View{self: Record{Address: address, Generation: generation}, fixed: fixed, all: map[string]*known{}, tried: map[string]time.Time{}}
+// New returns the view of an entry that knows only itself. The generation must be
+// higher than that of any earlier process at the address, or else the others may
+// consider the entry lost until they have contact with it; a wall-clock time is
+// suitable. The seeds are addresses that are tried without a time limit.
+func New(address string, generation uint64, seeds []string) *View {
+	v := &View{self: Record{Address: address, Generation: generation}, seeds: seeds, members: map[string]*member{}, candidates: map[string]time.Time{}}
 	v.rebuild()
 	return v
 }
 
-// Living lists the addresses of the entries that live, this one included, in order.
-// The slice is replaced, never changed.
-func (v *View) Living() []string { return v.living }
+// Living returns the addresses of the entries that are alive, including this one, in
+// sorted order. The slice is never modified; a change replaces it.
+func (v *View) Living() []string { return v.alive }
 
-// Digest stands for the records of the living.
+// Digest returns a hash of the records of the entries that are alive.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Changes grows when Living or the partners change.
+// Changes returns a number that grows whenever Living or the partners change.
 func (v *View) Changes() uint64 { return v.changes }
 
-// Lives reports whether an address is that of a living entry.
+// Lives reports whether the entry at an address is alive.
 func (v *View) Lives(address string) bool {
-	k := v.all[address]
-	return address == v.self.Address || k != nil && !k.Lost
+	m := v.members[address]
+	return address == v.self.Address || m != nil && !m.Lost
 }
 
-// Known reports whether an address is of use.
+// Known reports whether an address is a seed, a candidate or that of a recorded entry.
 func (v *View) Known(address string) bool {
-	_, tried := v.tried[address]
-	return tried || v.all[address] != nil || slices.Contains(v.fixed, address)
+	_, candidate := v.candidates[address]
+	return candidate || v.members[address] != nil || slices.Contains(v.seeds, address)
 }
 
-// Partner reports whether this entry exchanges with the one at an address: one of its
-// neighbours, or an address behind which no entry is known to live.
+// Partner reports whether this entry exchanges with the one at an address: a partner, or
+// a known address at which no entry is known to be alive.
 func (v *View) Partner(address string) bool {
 	if v.Lives(address) {
-		return v.ring[address]
+		return v.partners[address]
 	}
 	return v.Known(address)
 }
 
-// Partners is the number of the living with which this entry exchanges.
-func (v *View) Partners() int { return len(v.ring) }
+// Partners returns the number of alive entries with which this one exchanges.
+func (v *View) Partners() int { return len(v.partners) }
 
-// Records are all that is known, this entry first.
+// Records returns the records of all entries, this one first.
 func (v *View) Records() []Record {
 	out := []Record{v.self}
-	for _, address := range slices.Sorted(maps.Keys(v.all)) {
-		out = append(out, v.all[address].Record)
+	for _, address := range slices.Sorted(maps.Keys(v.members)) {
+		out = append(out, v.members[address].Record)
 	}
 	return out
 }
 
-// Learn takes in addresses found elsewhere, to be tried.
+// Learn adds addresses that were discovered by other means, to be tried.
 func (v *View) Learn(now time.Time, addresses []string) {
 	for _, a := range addresses {
 		if a == "" || a == v.self.Address || v.Lives(a) {
 			continue
 		}
-		v.tried[a] = now
+		v.candidates[a] = now
 	}
 }
 
-// Heard takes in that an entry has answered, or asked.
+// Heard records direct contact: an entry has sent a request or an answer.
 func (v *View) Heard(now time.Time, address string) {
 	if address == "" || address == v.self.Address {
 		return
 	}
-	delete(v.tried, address)
-	k := v.all[address]
-	if k == nil {
-		v.all[address] = &known{Record: Record{Address: address}, heard: now, awaited: now}
+	delete(v.candidates, address)
+	m := v.members[address]
+	if m == nil {
+		v.members[address] = &member{Record: Record{Address: address}, lastContact: now, timeoutStart: now}
 		v.rebuild()
 		return
 	}
-	k.heard, k.awaited = now, now
-	if k.Lost {
-		// It lives, whatever others found.
-		k.Lost = false
-		k.Generation++
+	m.lastContact, m.timeoutStart = now, now
+	if m.Lost {
+		// Direct contact overrides what others detected.
+		m.Lost = false
+		m.Generation++
 		v.rebuild()
 	}
 }
 
-// Merge takes in the records of another entry.
+// Merge applies the records of another entry.
 func (v *View) Merge(now time.Time, records []Record) {
 	changed := false
 	for _, r := range records {
@@ -173,61 +178,61 @@
 	if r.Address == v.self.Address {
 		return v.refute(r)
 	}
-	k := v.all[r.Address]
-	if k == nil {
+	m := v.members[r.Address]
+	if m == nil {
 		if r.Lost {
 			return false
 		}
-		delete(v.tried, r.Address)
-		v.all[r.Address] = &known{Record: r, awaited: now}
+		delete(v.candidates, r.Address)
+		v.members[r.Address] = &member{Record: r, timeoutStart: now}
 		return true
 	}
-	if !r.newer(k.Record) {
+	if !r.supersedes(m.Record) {
 		return false
 	}
-	if r.Lost && v.ring[r.Address] && now.Sub(k.heard) < vouchFor {
-		// An entry that was cut off itself has found all others lost. Without this it
-		// would take each of them out of every view when it is back.
-		k.Generation, k.Lost = r.Generation+1, false
+	if r.Lost && v.partners[r.Address] && now.Sub(m.lastContact) < recentContact {
+		// An entry that was partitioned itself has marked all others lost. Without this
+		// check it would remove each of them from all views when it reconnects.
+		m.Generation, m.Lost = r.Generation+1, false
 		return true
 	}
 	if r.Lost {
-		k.lostAt = now
+		m.lostAt = now
 	} else {
-		k.awaited = now
+		m.timeoutStart = now
 	}
-	k.Record = r
+	m.Record = r
 	return true
 }
 
-// refute answers a record of this entry that is newer than its own.
+// refute overrides a record of this entry that supersedes its own.
 func (v *View) refute(r Record) bool {
-	if !r.newer(v.self) {
+	if !r.supersedes(v.self) {
 		return false
 	}
 	v.self.Generation = r.Generation + 1
 	return true
 }
 
-// Tick takes in the passing of time; it is to be called a few times a second.
+// Tick applies timeouts. It must be called several times a second.
 func (v *View) Tick(now time.Time) {
-	stood := !v.ticked.IsZero() && now.Sub(v.ticked) >= paused
-	v.ticked = now
+	wasPaused := !v.lastTick.IsZero() && now.Sub(v.lastTick) >= pauseThreshold
+	v.lastTick = now
 	changed := false
-	for address, k := range v.all {
+	for address, m := range v.members {
 		switch {
-		case stood:
-			// The others seem silent because this process was.
-			k.awaited = now
-		case !k.Lost && v.ring[address] && now.Sub(k.awaited) >= LostAfter:
-			k.Lost, k.lostAt, changed = true, now, true
-		case k.Lost && now.Sub(k.lostAt) >= ForgetAfter:
-			delete(v.all, address)
+		case wasPaused:
+			// The others seem unresponsive because this process was suspended.
+			m.timeoutStart = now
+		case !m.Lost && v.partners[address] && now.Sub(m.timeoutStart) >= LostAfter:
+			m.Lost, m.lostAt, changed = true, now, true
+		case m.Lost && now.Sub(m.lostAt) >= ExpireAfter:
+			delete(v.members, address)
 		}
 	}
-	for address, since := range v.tried {
-		if now.Sub(since) >= ForgetAfter {
-			delete(v.tried, address)
+	for address, since := range v.candidates {
+		if now.Sub(since) >= ExpireAfter {
+			delete(v.candidates, address)
 		}
 	}
 	if changed {
@@ -235,33 +240,33 @@
 	}
 }
 
-// rebuild makes anew what follows from the records.
+// rebuild recomputes the state that is derived from the records.
 func (v *View) rebuild() {
-	living := []string{v.self.Address}
-	for address, k := range v.all {
-		if !k.Lost {
-			living = append(living, address)
+	alive := []string{v.self.Address}
+	for address, m := range v.members {
+		if !m.Lost {
+			alive = append(alive, address)
 		}
 	}
-	slices.Sort(living)
+	slices.Sort(alive)
 	var d xxhash.Digest
 	d.Reset()
-	for _, address := range living {
+	for _, address := range alive {
 		r := v.self
 		if address != v.self.Address {
-			r = v.all[address].Record
+			r = v.members[address].Record
 		}
 		_, _ = d.WriteString(address)
 		var generation [8]byte
 		binary.BigEndian.PutUint64(generation[:], r.Generation)
 		_, _ = d.Write(generation[:])
 	}
-	before := v.ring
-	v.living, v.digest, v.ring = living, d.Sum64(), neighbours(v.self.Address, living)
+	before := v.partners
+	v.alive, v.digest, v.partners = alive, d.Sum64(), partnersOf(v.self.Address, alive)
 	v.changes++
-	for address := range v.ring {
+	for address := range v.partners {
 		if !before[address] {
-			v.all[address].awaited = later(v.all[address].awaited, v.ticked)
+			v.members[address].timeoutStart = later(v.members[address].timeoutStart, v.lastTick)
 		}
 	}
 }
@@ -273,21 +278,21 @@
 	return a
 }
 
-// neighbours are the entries that one exchanges with: all, when they are few, and
-// otherwise those at distances 1, 2, 4, ... both ways on a ring in the order of hashes.
-// Each is the neighbour of its neighbours, and no two are further apart than a number of
-// exchanges that grows with the logarithm of their number.
-func neighbours(self string, living []string) map[string]bool {
+// partnersOf returns the entries with which self exchanges: all if there are at most
+// MaxFullMesh others, and otherwise those at distances 1, 2, 4, ... in both directions
+// on a ring ordered by hash. The relation is symmetric, and the number of exchanges
+// between any two entries grows with the logarithm of the number of entries.
+func partnersOf(self string, alive []string) map[string]bool {
 	out := map[string]bool{}
-	n := len(living)
-	if n-1 <= FullMesh {
-		for _, a := range living {
+	n := len(alive)
+	if n-1 <= MaxFullMesh {
+		for _, a := range alive {
 			out[a] = a != self
 		}
 		delete(out, self)
 		return out
 	}
-	ring := slices.Clone(living)
+	ring := slices.Clone(alive)
 	slices.SortFunc(ring, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
--- a/dispatch/gossip/gossip_test.go
+++ b/dispatch/gossip/gossip_test.go
@@ -7,56 +7,56 @@
 	"time"
 )
 
-// fleet is many views on virtual time. Each pair of partners exchanges about once a
-// second.
+// fleet runs many views on virtual time. Each pair of partners exchanges once a second.
 type fleet struct {
-	t     *testing.T
-	now   time.Time
-	steps int
-	views []*View
-	down  map[int]bool
-	cut   func(a, b int) bool
-	// calls made by each, and records sent.
+	t           *testing.T
+	now         time.Time
+	ticks       int
+	views       []*View
+	down        map[int]bool
+	partitioned func(a, b int) bool
+	// calls counts the exchanges of each entry, records those sent by all.
 	calls   []int
 	records int
 }
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7", i) }
 
-// newFleet starts so many entries that know three seeds.
+// newFleet starts n entries that know three seeds.
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{t: t, now: time.Unix(1000, 0), down: map[int]bool{}, calls: make([]int, n)}
-	f.cut = func(int, int) bool { return false }
+	f.partitioned = func(int, int) bool { return false }
 	for i := range n {
-		f.views = append(f.views, f.start(i))
+		f.views = append(f.views, f.newView(i))
 	}
 	return f
 }
 
-func (f *fleet) start(i int) *View {
+func (f *fleet) newView(i int) *View {
 	seeds := []string{address(0), address(1), address(2)}
 	v := New(address(i), uint64(f.now.UnixMilli()), slices.DeleteFunc(seeds, func(a string) bool { return a == address(i) }))
 	return v
 }
 
 const (
-	step          = 100 * time.Millisecond
-	exchangeSteps = 10
+	tickInterval  = 100 * time.Millisecond
+	exchangeTicks = 10
 )
 
-// run plays a time.
-func (f *fleet) run(d time.Duration) {
-	for range d / step {
-		f.now = f.now.Add(step)
-		f.steps++
+// advance runs the fleet for a duration of virtual time.
+func (f *fleet) advance(d time.Duration) {
+	for range d / tickInterval {
+		f.now = f.now.Add(tickInterval)
+		f.ticks++
 		for i, v := range f.views {
 			if f.down[i] {
 				continue
 			}
 			v.Tick(f.now)
 			for j := range f.views {
-				// The lower of two begins; the higher one where it is not a partner.
-				if j != i && v.Partner(address(j)) && (j > i || !f.views[j].Partner(address(i))) && (f.steps+7*i+3*j)%exchangeSteps == 0 {
+				// The lower of two entries initiates the exchange, or the higher one if
+				// it is not a partner of the lower.
+				if j != i && v.Partner(address(j)) && (j > i || !f.views[j].Partner(address(i))) && (f.ticks+7*i+3*j)%exchangeTicks == 0 {
 					f.exchange(i, j)
 				}
 			}
@@ -66,7 +66,7 @@
 
 func (f *fleet) exchange(i, j int) {
 	f.calls[i]++
-	if f.down[j] || f.cut(i, j) {
+	if f.down[j] || f.partitioned(i, j) {
 		return
 	}
 	f.calls[j]++
@@ -81,8 +81,8 @@
 	}
 }
 
-// agreed counts the views that list exactly the entries that are up.
-func (f *fleet) agreed() int {
+// agreeing counts the views of running entries that list as many entries as are running.
+func (f *fleet) agreeing() int {
 	n := 0
 	for i, v := range f.views {
 		if !f.down[i] && len(v.Living()) == len(f.views)-len(f.down) {
@@ -92,118 +92,119 @@
 	return n
 }
 
-func (f *fleet) want(what string) {
+func (f *fleet) wantAgreement(what string) {
 	f.t.Helper()
-	if got, want := f.agreed(), len(f.views)-len(f.down); got != want {
-		f.t.Errorf("%s: %d of %d views list the entries that are up", what, got, want)
+	if got, want := f.agreeing(), len(f.views)-len(f.down); got != want {
+		f.t.Errorf("%s: %d of %d views list the running entries", what, got, want)
 	}
 }
 
-// All machines start at once, knowing three addresses of which one leads nowhere. Until
-// entries know of each other, agents can't choose among them, so a few exchanges must do.
-func TestAllAreKnownSoon(t *testing.T) {
+// All machines start at once, knowing three addresses of which one is not reachable.
+// Agents can't choose among entries that don't know each other, so the views must
+// converge within a few exchanges.
+func TestAllEntriesConvergeAfterStart(t *testing.T) {
 	for _, n := range []int{3, 12, 55, 120} {
 		f := newFleet(t, n)
 		if n > 3 {
 			f.down[1] = true
 		}
-		f.run(6 * time.Second)
-		f.want(fmt.Sprint(n, " entries after 6 s"))
+		f.advance(6 * time.Second)
+		f.wantAgreement(fmt.Sprint(n, " entries after 6 s"))
 	}
 }
 
-// An entry's machine dies. Its neighbours notice, and all others learn it from them, so
-// that agents are not sent there.
-func TestLostEntryLeavesAllViews(t *testing.T) {
+// An entry's machine fails. Its partners detect the loss and the record must reach all
+// others, so that no agent is directed to it.
+func TestLostEntryIsRemovedFromAllViews(t *testing.T) {
 	f := newFleet(t, 55)
-	f.run(8 * time.Second)
+	f.advance(8 * time.Second)
 	f.down[20], f.down[21] = true, true
-	f.run(8 * time.Second)
-	f.want("8 s after two were lost")
-	f.views[20] = f.start(20)
+	f.advance(8 * time.Second)
+	f.wantAgreement("8 s after the loss of two entries")
+	f.views[20] = f.newView(20)
 	delete(f.down, 20)
-	f.run(6 * time.Second)
-	f.want("6 s after one is back")
+	f.advance(6 * time.Second)
+	f.wantAgreement("6 s after the restart of one")
 }
 
-// Some entries are cut off from all others for a while and take them for lost. When the
-// cut ends, what they found must not take living entries out of everybody's view.
-func TestEntriesThatWereCutOffComeBack(t *testing.T) {
+// Some entries are partitioned from the others for a while and mark them lost. When the
+// partition heals, their records must not remove running entries from any view.
+func TestPartitionedEntriesRejoin(t *testing.T) {
 	f := newFleet(t, 55)
-	f.run(8 * time.Second)
-	f.cut = func(a, b int) bool { return a%3 == 0 != (b%3 == 0) }
-	f.run(10 * time.Second)
-	f.cut = func(int, int) bool { return false }
-	f.run(8 * time.Second)
-	f.want("8 s after the cut")
+	f.advance(8 * time.Second)
+	f.partitioned = func(a, b int) bool { return a%3 == 0 != (b%3 == 0) }
+	f.advance(10 * time.Second)
+	f.partitioned = func(int, int) bool { return false }
+	f.advance(8 * time.Second)
+	f.wantAgreement("8 s after the partition")
 }
 
-// A process is suspended for seconds. When it goes on, all others seem to have been
-// silent; it must not tell that they are lost.
-func TestEntryThatStoodStillTakesNobodyForLost(t *testing.T) {
+// A process is suspended for seconds. When it resumes, all others seem unresponsive; it
+// must not mark them lost.
+func TestPausedEntryMarksNoneLost(t *testing.T) {
 	f := newFleet(t, 30)
-	f.run(8 * time.Second)
+	f.advance(8 * time.Second)
 	v, before := f.views[4], len(f.views[4].Living())
 	f.now = f.now.Add(10 * time.Second)
 	v.Tick(f.now)
 	if got := len(v.Living()); got != before {
-		t.Errorf("%d entries live after a pause, of %d", got, before)
+		t.Errorf("%d of %d entries are alive after a pause", got, before)
 	}
 }
 
-// The clock of a machine that is replaced goes back: its new process has a lower
-// generation than the earlier one, which counts as lost. It must be known again all the
-// same.
-func TestEntryWithALowerGenerationIsKnownAgain(t *testing.T) {
+// A machine is replaced by one whose clock is behind: the new process has a lower
+// generation than the earlier one, which is marked lost. It must rejoin nevertheless.
+func TestEntryWithLowerGenerationRejoins(t *testing.T) {
 	f := newFleet(t, 20)
-	f.run(6 * time.Second)
+	f.advance(6 * time.Second)
 	f.down[7] = true
-	f.run(8 * time.Second)
+	f.advance(8 * time.Second)
 	delete(f.down, 7)
 	f.views[7] = New(address(7), 1, []string{address(0)})
-	f.run(8 * time.Second)
-	f.want("8 s after it is back")
+	f.advance(8 * time.Second)
+	f.wantAgreement("8 s after the restart")
 }
 
-// What an entry pays for exchanges must hardly grow with the fleet, and at rest no
-// records travel.
-func TestCostHardlyGrows(t *testing.T) {
+// The exchange rate of an entry must grow slowly with the fleet, and no records may be
+// sent while nothing changes.
+func TestExchangeRateGrowsSlowly(t *testing.T) {
 	perSecond := func(n int) float64 {
 		f := newFleet(t, n)
-		f.run(10 * time.Second)
+		f.advance(10 * time.Second)
 		clear(f.calls)
 		f.records = 0
-		f.run(5 * time.Second)
+		f.advance(5 * time.Second)
 		if f.records > 0 {
-			t.Errorf("%d entries: %d records sent in 5 s at rest", n, f.records)
+			t.Errorf("%d entries: %d records sent in 5 s without a change", n, f.records)
 		}
 		return float64(slices.Max(f.calls)) / 5
 	}
 	few, many := perSecond(13), perSecond(200)
 	if many > 2*few {
-		t.Errorf("%.1f exchanges a second among 13 entries, %.1f among 200", few, many)
+		t.Errorf("%.1f exchanges/s among 13 entries, %.1f among 200", few, many)
 	}
 }
 
-// Partners are mutual, or one side would never be heard.
-func TestNeighboursAreMutual(t *testing.T) {
+// The partner relation must be symmetric, or one side would never be contacted.
+func TestPartnersAreMutual(t *testing.T) {
 	for _, n := range []int{2, 13, 14, 55, 200} {
-		var living []string
+		var alive []string
 		for i := range n {
-			living = append(living, address(i))
+			alive = append(alive, address(i))
 		}
-		for _, a := range living {
-			for b := range neighbours(a, living) {
-				if !neighbours(b, living)[a] {
-					t.Fatalf("%d entries: %s is no neighbour of its neighbour %s", n, a, b)
+		for _, a := range alive {
+			for b := range partnersOf(a, alive) {
+				if !partnersOf(b, alive)[a] {
+					t.Fatalf("%d entries: %s is no partner of its partner %s", n, a, b)
 				}
 			}
 		}
 	}
 }
 
-// Two views with other entries must never look alike, or one would not be told.
-func TestDigestsTellListsApart(t *testing.T) {
+// Views that list different entries must have different digests, or no records would be
+// exchanged between them.
+func TestDigestDistinguishesLists(t *testing.T) {
 	with := func(addresses ...string) uint64 {
 		v := New("self", 1, nil)
 		for _, a := range addresses {
@@ -212,9 +213,9 @@
 		return v.Digest()
 	}
 	if with("ab", "c") == with("a", "bc") || with("a") == with("a", "b") {
-		t.Error("two lists have one digest")
+		t.Error("two different lists have the same digest")
 	}
 	if with("a", "b") != with("b", "a") {
-		t.Error("one list has two digests")
+		t.Error("the same list has two digests")
 	}
 }
