--- a/dispatch/contract/change.go
+++ b/dispatch/contract/change.go
@@ -9,53 +9,54 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Change is what an operator asks for.
+// Change is a change of a contract that an operator requests.
 type Change struct {
-	// Contract is the wanted state. Its revision is the one that the operator
-	// started from; zero creates the contract.
+	// Contract is the desired state. Its revision is the one on which the change is
+	// based; zero creates the contract.
 	Contract *pb.Contract
-	// ID identifies the change, By its author, for people.
+	// ID identifies the change, By its author for human readers.
 	ID, By string
 	At     time.Time
-	// Rebase asks to put the change on top of others made in the meantime.
+	// Rebase permits merging the change with others made since its base revision.
 	Rebase bool
 }
 
-// Plan is what has to be done for a change.
+// Plan is the write that a change requires.
 type Plan struct {
-	// Applied is the revision at which the change is in the store already; zero
-	// when Record has yet to be written.
+	// Applied is the revision that the change made if it is in the store already,
+	// or zero if Record has yet to be written.
 	Applied uint64
 	// Record is to be written by compare-and-swap on revision Prev.
 	Record *pb.ContractRecord
 	Prev   uint64
 }
 
-// Make decides how a change is put on top of the record that the store holds,
-// nil for none. It fails with ErrInvalid or ErrConflict.
-func Make(change Change, held *pb.ContractRecord) (Plan, error) {
-	if revision := Find(held, change.ID); revision > 0 {
+// Make plans the write that applies a change to the stored record, nil if there is
+// none. It fails with ErrInvalid or ErrConflict.
+func Make(change Change, stored *pb.ContractRecord) (Plan, error) {
+	if revision := Find(stored, change.ID); revision > 0 {
 		return Plan{Applied: revision}, nil
 	}
-	wanted, err := checked(change)
+	wanted, err := validated(change)
 	if err != nil {
 		return Plan{}, err
 	}
-	current := held.GetContract()
-	if wanted, err = onTop(change, wanted, held); err != nil {
+	current := stored.GetContract()
+	if wanted, err = reconcile(change, wanted, stored); err != nil {
 		return Plan{}, err
 	}
 	wanted.Revision = 0
 	wanted.ChangeId, wanted.ChangedBy, wanted.ChangedUnixMs = change.ID, change.By, change.At.UnixMilli()
 	record := &pb.ContractRecord{Contract: wanted}
 	if current != nil {
-		record.History = append([]*pb.Contract{current}, held.History...)
+		record.History = append([]*pb.Contract{current}, stored.History...)
 		record.History = record.History[:min(len(record.History), MaxHistory)]
 	}
 	return Plan{Record: record, Prev: current.GetRevision()}, nil
 }
 
-func checked(change Change) (*pb.Contract, error) {
+// validated returns the change's contract with defaults filled in, or ErrInvalid.
+func validated(change Change) (*pb.Contract, error) {
 	wanted := WithDefaults(change.Contract)
 	var v validator
 	v.text("change_id", change.ID, MaxIDLength, idPattern, "of letters, digits, '.', '_' and '-'")
@@ -66,39 +67,40 @@
 	return wanted, v.result()
 }
 
-// onTop returns the contract to write, or ErrConflict.
-func onTop(change Change, wanted *pb.Contract, held *pb.ContractRecord) (*pb.Contract, error) {
-	current := held.GetContract()
-	started := change.Contract.Revision
+// reconcile checks a change against the stored record and returns the contract to write.
+// It fails with ErrConflict, or with ErrInvalid if the merged contract is not valid.
+func reconcile(change Change, wanted *pb.Contract, stored *pb.ContractRecord) (*pb.Contract, error) {
+	current := stored.GetContract()
+	baseRevision := change.Contract.Revision
 	switch {
-	case started == current.GetRevision():
+	case baseRevision == current.GetRevision():
 		return wanted, nil
-	case started == 0 && current.GetDeleted():
-		// Creating what was deleted is a new revision of the tombstone.
+	case baseRevision == 0 && current.GetDeleted():
+		// Recreating a deleted contract makes a new revision of its tombstone.
 		return wanted, nil
-	case started == 0:
+	case baseRevision == 0:
 		return nil, ErrConflict.New("contract %q exists at revision %d", wanted.Name, current.Revision)
 	case current == nil:
 		return nil, ErrConflict.New("there is no contract %q", wanted.Name)
 	}
-	base := at(held, started)
+	base := atRevision(stored, baseRevision)
 	if base == nil {
-		return nil, ErrConflict.New("contract %q is at revision %d; revision %d is not kept any more",
-			wanted.Name, current.Revision, started)
+		return nil, ErrConflict.New("contract %q is at revision %d; revision %d is no longer kept",
+			wanted.Name, current.Revision, baseRevision)
 	}
 	if !change.Rebase {
 		changes := Diff(base, current)
 		return nil, ErrConflict.New("contract %q was changed by %s (revision %d after %d): %s", wanted.Name,
-			current.ChangedBy, current.Revision, started, list(changes)).WithProperty(changesProperty, changes)
+			current.ChangedBy, current.Revision, baseRevision, joinChanges(changes)).WithProperty(changesProperty, changes)
 	}
-	merged, clashes := merge(base, wanted, current)
-	if len(clashes) > 0 {
-		return nil, ErrConflict.New("both changed: %s", list(clashes)).WithProperty(changesProperty, clashes)
+	merged, conflicts := merge(base, wanted, current)
+	if len(conflicts) > 0 {
+		return nil, ErrConflict.New("conflicting changes: %s", joinChanges(conflicts)).WithProperty(changesProperty, conflicts)
 	}
 	return merged, Validate(merged)
 }
 
-func list(changes []FieldChange) string {
+func joinChanges(changes []FieldChange) string {
 	texts := make([]string, len(changes))
 	for i, c := range changes {
 		texts[i] = c.String()
@@ -106,9 +108,9 @@
 	return strings.Join(texts, ", ")
 }
 
-// at returns the contract at a revision, nil when it is not kept.
-func at(held *pb.ContractRecord, revision uint64) *pb.Contract {
-	for _, c := range append([]*pb.Contract{held.GetContract()}, held.GetHistory()...) {
+// atRevision returns the contract at a revision, nil if the record does not keep it.
+func atRevision(stored *pb.ContractRecord, revision uint64) *pb.Contract {
+	for _, c := range append([]*pb.Contract{stored.GetContract()}, stored.GetHistory()...) {
 		if c != nil && c.Revision == revision {
 			return c
 		}
@@ -116,10 +118,10 @@
 	return nil
 }
 
-// Find returns the revision that a change made, zero when the record knows of
-// none.
-func Find(held *pb.ContractRecord, changeID string) uint64 {
-	for _, c := range append([]*pb.Contract{held.GetContract()}, held.GetHistory()...) {
+// Find returns the revision that a change made, zero if the record does not contain the
+// change.
+func Find(stored *pb.ContractRecord, changeID string) uint64 {
+	for _, c := range append([]*pb.Contract{stored.GetContract()}, stored.GetHistory()...) {
 		if c != nil && changeID != "" && c.ChangeId == changeID {
 			return c.Revision
 		}
@@ -127,17 +129,16 @@
 	return 0
 }
 
-// Resolution is what a record proves about a write whose answer was lost.
+// Resolution is what a record proves about a write whose response was lost.
 type Resolution int
 
-// Resolutions.
 const (
 	// NotKnown means that neither can be proven: the write may still take effect,
-	// or its trace has dropped out of the history.
+	// or its revision is no longer in the history.
 	NotKnown Resolution = iota
 	// Applied means that the change was made.
 	Applied
-	// NotApplied means that the change was not made and can't be any more.
+	// NotApplied means that the change was not made and can no longer be made.
 	NotApplied
 )
 
@@ -152,32 +153,33 @@
 	return "not known"
 }
 
-// Resolve decides, from the record read back, about a write of the change that
-// compared with revision prev. While the record is still at prev the write may
-// be on its way; once another change is there it can't succeed any more.
-func Resolve(held *pb.ContractRecord, changeID string, prev uint64) (Resolution, uint64) {
-	if revision := Find(held, changeID); revision > 0 {
+// Resolve determines from the stored record whether a write of the change that compared
+// with revision prev took effect, and returns the change's revision if it is Applied,
+// or else the current one. While the record is at prev, the write may still be in
+// flight; once the record has another revision, the write can no longer succeed.
+func Resolve(stored *pb.ContractRecord, changeID string, prev uint64) (Resolution, uint64) {
+	if revision := Find(stored, changeID); revision > 0 {
 		return Applied, revision
 	}
-	current := held.GetContract().GetRevision()
+	current := stored.GetContract().GetRevision()
 	if current == prev {
 		return NotKnown, current
 	}
-	complete := len(held.GetHistory()) < MaxHistory || at(held, prev) != nil
+	complete := len(stored.GetHistory()) < MaxHistory || atRevision(stored, prev) != nil
 	if current > prev && complete {
 		return NotApplied, current
 	}
 	return NotKnown, current
 }
 
-// Rollback returns a change that brings back the terms of an earlier revision,
-// on top of the present one.
-func Rollback(held *pb.ContractRecord, revision uint64) (*pb.Contract, error) {
-	earlier := at(held, revision)
+// Rollback returns the contract that restores the terms of an earlier revision, based on
+// the current one. It fails with ErrNotFound if the earlier revision is not kept.
+func Rollback(stored *pb.ContractRecord, revision uint64) (*pb.Contract, error) {
+	earlier := atRevision(stored, revision)
 	if earlier == nil {
-		return nil, ErrNotFound.New("contract %q: revision %d is not kept", held.GetContract().GetName(), revision)
+		return nil, ErrNotFound.New("contract %q: revision %d is not kept", stored.GetContract().GetName(), revision)
 	}
 	wanted := proto.CloneOf(earlier)
-	wanted.Revision = held.Contract.Revision
+	wanted.Revision = stored.Contract.Revision
 	return wanted, nil
 }
--- a/dispatch/contract/contract_test.go
+++ b/dispatch/contract/contract_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-func desk(edit func(*pb.Contract)) *pb.Contract {
+func testContract(edit func(*pb.Contract)) *pb.Contract {
 	c := WithDefaults(&pb.Contract{Name: "desk", Rate: 10, Concurrency: 8, MemoryBytes: 1 << 30, Waiting: 100})
 	if edit != nil {
 		edit(c)
@@ -51,7 +51,7 @@
 		{"token_sha256", func(c *pb.Contract) { c.TokenSha256 = "secret" }},
 	}
 	for _, tt := range tests {
-		c := desk(tt.edit)
+		c := testContract(tt.edit)
 		fields := FieldErrors(Validate(c))
 		if tt.field == "" && len(fields) == 0 {
 			continue
@@ -62,16 +62,16 @@
 	}
 }
 
-func TestRecordKeepsItsContent(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := desk(func(c *pb.Contract) {
+		c := testContract(func(c *pb.Contract) {
 			c.Weight = rapid.Uint32Range(1, MaxWeight).Draw(t, "weight")
 			c.Rate = rapid.Float64Range(0, MaxRate).Draw(t, "rate")
 			c.MemoryBytes = rapid.Uint64Range(0, MaxMemoryBytes).Draw(t, "memory")
 			c.ChangedBy = rapid.String().Draw(t, "by")
 		})
 		c.ChangedBy = strings.ToValidUTF8(c.ChangedBy, "")
-		in := &pb.ContractRecord{Contract: c, History: []*pb.Contract{desk(func(c *pb.Contract) { c.Revision = 3 })}}
+		in := &pb.ContractRecord{Contract: c, History: []*pb.Contract{testContract(func(c *pb.Contract) { c.Revision = 3 })}}
 		text, err := Encode(in)
 		if err != nil {
 			t.Fatal(err)
@@ -88,19 +88,19 @@
 	})
 }
 
-// Somebody writes to the store past this program. Entries must neither crash nor
-// put nonsense in force.
+// Records may be written to the store by other means than this program. Entries must
+// neither crash on them nor put an invalid contract in force.
 func TestMalformedRecords(t *testing.T) {
 	for _, text := range []string{"", "{}", "null", "[", `{"contract":{"name":"other"}}`, `{"contract":{"name":"desk","weight":-1}}`,
 		`{"contract":{"name":"desk","weight":100000,"class":1}}`} {
 		if r, err := Decode(Key("desk"), []byte(text), 1); !errorx.IsOfType(err, ErrMalformed) {
-			t.Errorf("%q: got %v", text, r)
+			t.Errorf("%q: got %v, want ErrMalformed", text, r)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	text, _ := Encode(&pb.ContractRecord{Contract: desk(nil)})
+	text, _ := Encode(&pb.ContractRecord{Contract: testContract(nil)})
 	f.Add(text)
 	f.Add([]byte(`{"contract":{"name":"desk","deleted":true}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -114,114 +114,114 @@
 	})
 }
 
-// written puts a change on a record as the store would, at the given revision.
-func written(t *testing.T, held *pb.ContractRecord, change Change, revision uint64) *pb.ContractRecord {
+// applyChange returns the record after a change, written at the given revision.
+func applyChange(t *testing.T, stored *pb.ContractRecord, change Change, revision uint64) *pb.ContractRecord {
 	t.Helper()
-	plan, err := Make(change, held)
-	if err != nil || plan.Applied != 0 || plan.Prev != held.GetContract().GetRevision() {
+	plan, err := Make(change, stored)
+	if err != nil || plan.Applied != 0 || plan.Prev != stored.GetContract().GetRevision() {
 		t.Fatalf("Make = %+v, %v", plan, err)
 	}
 	plan.Record.Contract.Revision = revision
 	return plan.Record
 }
 
-func change(id string, from uint64, edit func(*pb.Contract)) Change {
-	c := desk(edit)
+func newChange(id string, from uint64, edit func(*pb.Contract)) Change {
+	c := testContract(edit)
 	c.Revision = from
 	return Change{Contract: c, ID: id, By: "ann", At: time.Unix(100, 0)}
 }
 
-// Two operators start from the same revision. The later one must not undo the
-// other's change unseen: it is told what changed, and may put its own on top as
-// long as both did not change the same term.
-func TestRacingOperators(t *testing.T) {
-	first := written(t, nil, change("c1", 0, nil), 5)
-	second := written(t, first, change("c2", 5, func(c *pb.Contract) { c.Concurrency = 20 }), 8)
+// Two operators base changes on the same revision. The second one must not silently undo
+// the first change: the error lists what changed, and a rebase succeeds unless both
+// changed the same term.
+func TestConcurrentChanges(t *testing.T) {
+	first := applyChange(t, nil, newChange("c1", 0, nil), 5)
+	second := applyChange(t, first, newChange("c2", 5, func(c *pb.Contract) { c.Concurrency = 20 }), 8)
 
-	late := change("c3", 5, func(c *pb.Contract) { c.Waiting = 7 })
-	_, err := Make(late, second)
+	stale := newChange("c3", 5, func(c *pb.Contract) { c.Waiting = 7 })
+	_, err := Make(stale, second)
 	if diff := cmp.Diff([]FieldChange{{"concurrency", "8", "20"}}, Changes(err)); diff != "" || !errorx.IsOfType(err, ErrConflict) {
-		t.Errorf("late change: %v\n%s", err, diff)
+		t.Errorf("stale change: %v\n%s", err, diff)
 	}
-	late.Rebase = true
-	third := written(t, second, late, 9)
+	stale.Rebase = true
+	third := applyChange(t, second, stale, 9)
 	if c := third.Contract; c.Concurrency != 20 || c.Waiting != 7 || c.ChangeId != "c3" || c.ChangedUnixMs != 100_000 {
 		t.Errorf("rebased: %v", c)
 	}
-	clash := change("c4", 5, func(c *pb.Contract) { c.Concurrency = 30 })
-	clash.Rebase = true
-	if _, err := Make(clash, third); len(Changes(err)) != 1 || Changes(err)[0].Field != "concurrency" {
-		t.Errorf("clash: %v", err)
+	conflicting := newChange("c4", 5, func(c *pb.Contract) { c.Concurrency = 30 })
+	conflicting.Rebase = true
+	if _, err := Make(conflicting, third); len(Changes(err)) != 1 || Changes(err)[0].Field != "concurrency" {
+		t.Errorf("conflicting change: %v", err)
 	}
 	for name, c := range map[string]Change{
-		"creation of what exists": change("c5", 0, nil),
-		"unknown revision":        change("c6", 4, nil),
+		"creation of an existing contract": newChange("c5", 0, nil),
+		"unknown revision":                 newChange("c6", 4, nil),
 	} {
 		if _, err := Make(c, third); err == nil {
 			t.Errorf("%s was accepted", name)
 		}
 	}
-	if _, err := Make(change("c7", 3, nil), nil); err == nil {
-		t.Error("a change of a contract that does not exist was accepted")
+	if _, err := Make(newChange("c7", 3, nil), nil); err == nil {
+		t.Error("a change of a nonexistent contract was accepted")
 	}
 }
 
-// The answer to a change is lost. The operator asks again, perhaps after others
-// have made changes: it must hear the truth, and the change must not be made twice.
-func TestLostAnswer(t *testing.T) {
-	first := written(t, nil, change("c1", 0, nil), 5)
-	mine := change("mine", 5, func(c *pb.Contract) { c.Weight = 2 })
-	applied := written(t, first, mine, 6)
-	overtaken := written(t, first, change("theirs", 5, nil), 6)
-	buried, long := applied, overtaken
+// The response to a change is lost. The operator retries, perhaps after others have made
+// changes: the reported outcome must be correct, and the change must not be made twice.
+func TestResolveAfterLostResponse(t *testing.T) {
+	first := applyChange(t, nil, newChange("c1", 0, nil), 5)
+	mine := newChange("mine", 5, func(c *pb.Contract) { c.Weight = 2 })
+	applied := applyChange(t, first, mine, 6)
+	superseded := applyChange(t, first, newChange("theirs", 5, nil), 6)
+	appliedDropped, supersededDropped := applied, superseded
 	for i := range uint64(MaxHistory + 1) {
-		buried = written(t, buried, change("x"+string(rune('a'+i)), buried.Contract.Revision, nil), 10+i)
-		long = written(t, long, change("y"+string(rune('a'+i)), long.Contract.Revision, nil), 10+i)
+		appliedDropped = applyChange(t, appliedDropped, newChange("x"+string(rune('a'+i)), appliedDropped.Contract.Revision, nil), 10+i)
+		supersededDropped = applyChange(t, supersededDropped, newChange("y"+string(rune('a'+i)), supersededDropped.Contract.Revision, nil), 10+i)
 	}
 	tests := []struct {
-		name string
-		held *pb.ContractRecord
-		want Resolution
-		at   uint64
+		name   string
+		stored *pb.ContractRecord
+		want   Resolution
+		at     uint64
 	}{
 		{"applied", applied, Applied, 6},
-		{"applied, with another on top", written(t, applied, change("c9", 6, nil), 7), Applied, 6},
-		{"may be under way", first, NotKnown, 5},
-		{"another came first", overtaken, NotApplied, 6},
-		{"applied, out of the history", buried, NotKnown, 10 + MaxHistory},
-		{"not applied, out of the history", long, NotKnown, 10 + MaxHistory},
+		{"applied, followed by another", applyChange(t, applied, newChange("c9", 6, nil), 7), Applied, 6},
+		{"may be in flight", first, NotKnown, 5},
+		{"another was first", superseded, NotApplied, 6},
+		{"applied, dropped from the history", appliedDropped, NotKnown, 10 + MaxHistory},
+		{"not applied, dropped from the history", supersededDropped, NotKnown, 10 + MaxHistory},
 	}
 	for _, tt := range tests {
-		if got, at := Resolve(tt.held, "mine", 5); got != tt.want || at != tt.at {
+		if got, at := Resolve(tt.stored, "mine", 5); got != tt.want || at != tt.at {
 			t.Errorf("%s: %v at %d, want %v at %d", tt.name, got, at, tt.want, tt.at)
 		}
 	}
 	if plan, err := Make(mine, applied); err != nil || plan.Applied != 6 {
-		t.Errorf("the same change again: %+v, %v", plan, err)
+		t.Errorf("repeated change: %+v, %v", plan, err)
 	}
 }
 
 func TestRollbackAndDeletion(t *testing.T) {
-	record := written(t, nil, change("c1", 0, nil), 5)
-	record = written(t, record, change("c2", 5, func(c *pb.Contract) { c.Weight = 9 }), 6)
-	record = written(t, record, change("c3", 6, func(c *pb.Contract) { c.Deleted = true }), 7)
+	record := applyChange(t, nil, newChange("c1", 0, nil), 5)
+	record = applyChange(t, record, newChange("c2", 5, func(c *pb.Contract) { c.Weight = 9 }), 6)
+	record = applyChange(t, record, newChange("c3", 6, func(c *pb.Contract) { c.Deleted = true }), 7)
 	back, err := Rollback(record, 6)
 	if err != nil {
 		t.Fatal(err)
 	}
-	record = written(t, record, Change{Contract: back, ID: "c4", By: "bob", At: time.Unix(200, 0)}, 8)
+	record = applyChange(t, record, Change{Contract: back, ID: "c4", By: "bob", At: time.Unix(200, 0)}, 8)
 	if c := record.Contract; c.Weight != 9 || c.Deleted || c.ChangedBy != "bob" || len(record.History) != 3 {
 		t.Errorf("record = %v", record)
 	}
 	if _, err := Rollback(record, 4); !errorx.IsOfType(err, ErrNotFound) {
-		t.Errorf("rollback to a revision that never was: %v", err)
+		t.Errorf("rollback to a revision that never existed: %v", err)
 	}
 }
 
-// Old reads of the store, late messages and peers that were cut off bring back
-// revisions in any order and any number of times. A contract that jumps back, or
-// one that was deleted and lives again, is a promise broken to a customer.
-func TestRegistryNeverGoesBack(t *testing.T) {
+// Outdated reads of the store, delayed messages and partitioned peers deliver revisions
+// in any order and any number of times. A contract that returns to an older revision, or
+// that reappears after its deletion, breaks a promise to a customer.
+func TestRegistryNeverRegresses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegistry()
 		highest := map[string]uint64{}
@@ -233,43 +233,43 @@
 					Deleted: rapid.Bool().Draw(t, "deleted"),
 				}
 			}), 0, 4).Draw(t, "batch")
-			said := rapid.Uint64Range(0, 20).Draw(t, "covered")
+			claimed := rapid.Uint64Range(0, 20).Draw(t, "covered")
 			before := r.Snapshot()
-			kept := maps.Clone(before.byName)
+			copied := maps.Clone(before.byName)
 			since := rapid.Uint64Range(0, 20).Draw(t, "since")
-			r.Apply(batch, since, said)
+			r.Apply(batch, since, claimed)
 			if since <= covered {
-				covered = max(covered, said)
+				covered = max(covered, claimed)
 			}
 			for _, c := range batch {
 				highest[c.Name] = max(highest[c.Name], c.Revision)
 			}
-			if !maps.Equal(kept, before.byName) {
-				t.Fatal("a snapshot was changed")
+			if !maps.Equal(copied, before.byName) {
+				t.Fatal("Apply modified a snapshot")
 			}
 		}
 		for name, revision := range highest {
 			if got := r.Snapshot().Held(name).Revision; got != revision {
-				t.Fatalf("%s at %d, want %d", name, got, revision)
+				t.Fatalf("%s is at revision %d, want %d", name, got, revision)
 			}
 		}
 		if r.Snapshot().Covered() != covered {
-			t.Fatalf("covered %d, want %d", r.Snapshot().Covered(), covered)
+			t.Fatalf("complete up to %d, want %d", r.Snapshot().Covered(), covered)
 		}
 	})
 }
 
-// One process learns from another in bounded messages. Some are lost, some come
-// late, and the learning process is restarted and gets what was meant for the one
-// before it. If it believed itself up to date with a change missing, it would run
-// an old contract and nobody would send the change again.
-func TestCatchingUpLeavesNothingOut(t *testing.T) {
+// A process receives changes from another one in messages of bounded size. Some are lost
+// or delayed, and after a restart the process receives messages that were intended for
+// its previous incarnation. If it considered itself complete while a change is missing,
+// it would use an old contract and the change would never be resent.
+func TestSyncMissesNoChange(t *testing.T) {
 	type message struct {
 		contracts   []*pb.Contract
 		since, upTo uint64
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		ahead, behind := NewRegistry(), NewRegistry()
+		source, replica := NewRegistry(), NewRegistry()
 		var revision uint64
 		var sent []message
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -277,29 +277,29 @@
 			case "change":
 				revision++
 				name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name")
-				ahead.Apply([]*pb.Contract{{Name: name, Revision: revision}}, revision-1, revision)
+				source.Apply([]*pb.Contract{{Name: name, Revision: revision}}, revision-1, revision)
 			case "send":
-				since := behind.Snapshot().Covered()
+				since := replica.Snapshot().Covered()
 				if rapid.Bool().Draw(t, "ahead") {
 					since += rapid.Uint64Range(0, 9).Draw(t, "by")
 				}
-				contracts, upTo := ahead.Snapshot().Since(since, 2)
+				contracts, upTo := source.Snapshot().Since(since, 2)
 				if upTo > revision {
-					t.Fatalf("said to be covered up to %d of %d", upTo, revision)
+					t.Fatalf("Since claims completeness up to %d of %d", upTo, revision)
 				}
 				sent = append(sent, message{contracts, since, upTo})
 			case "deliver":
 				if len(sent) > 0 {
 					m := rapid.SampledFrom(sent).Draw(t, "message")
-					behind.Apply(m.contracts, m.since, m.upTo)
+					replica.Apply(m.contracts, m.since, m.upTo)
 				}
 			case "restart":
-				behind = NewRegistry()
+				replica = NewRegistry()
 			}
-			for _, c := range ahead.Snapshot().All() {
-				held := behind.Snapshot().Held(c.Name).GetRevision()
-				if c.Revision <= behind.Snapshot().Covered() && held != c.Revision {
-					t.Fatalf("covered up to %d, and %s at %d in place of %d", behind.Snapshot().Covered(), c.Name, held, c.Revision)
+			for _, c := range source.Snapshot().All() {
+				stored := replica.Snapshot().Held(c.Name).GetRevision()
+				if c.Revision <= replica.Snapshot().Covered() && stored != c.Revision {
+					t.Fatalf("complete up to %d, but %s is at %d instead of %d", replica.Snapshot().Covered(), c.Name, stored, c.Revision)
 				}
 			}
 		}
--- a/dispatch/contract/copies_test.go
+++ b/dispatch/contract/copies_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// many makes contracts as operators write them, as the wire carries them.
-func many(n int) [][]byte {
+// encodedContracts returns n typical contracts in their wire encoding.
+func encodedContracts(n int) [][]byte {
 	all := make([][]byte, n)
 	for i := range all {
 		c := WithDefaults(&pb.Contract{
@@ -24,8 +24,9 @@
 	return all
 }
 
-// held decodes contracts into a registry and returns the heap bytes it takes.
-func held(b *testing.B, wire [][]byte) (*Registry, uint64) {
+// loadRegistry decodes contracts into a registry and returns it with the heap bytes that
+// it takes.
+func loadRegistry(b *testing.B, wire [][]byte) (*Registry, uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -43,15 +44,15 @@
 	return r, after.HeapAlloc - before.HeapAlloc
 }
 
-// BenchmarkCopies compares what one agent holds and is sent in an hour under
-// full copies of the contracts, partial copies of those whose tasks ran there,
-// and none. The load is the largest planned for: 51 starts a second at an agent,
-// by contracts of which few are used much (Zipf, 1.1), and 11,000 changes a day.
+// BenchmarkCopies compares what an agent would hold and receive per hour with a full copy
+// of the contracts, with a partial copy of those whose tasks it ran, and with none. The
+// load is the largest planned for: 51 starts per second at an agent, distributed over the
+// contracts by Zipf's law with exponent 1.1, and 11,000 changes a day.
 func BenchmarkCopies(b *testing.B) {
 	const startsPerHour, changesPerHour = 51 * 3600, 11_000 / 24
 	for _, n := range []int{41, 4100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			wire := many(n)
+			wire := encodedContracts(n)
 			random := rand.New(rand.NewPCG(1, 2))
 			zipf := rand.NewZipf(random, 1.1, 1, uint64(n-1))
 			var fullBytes, partialBytes, partialMessages int
@@ -79,8 +80,8 @@
 			for c := range used {
 				own = append(own, wire[c])
 			}
-			full, fullHeap := held(b, wire)
-			partial, partialHeap := held(b, own)
+			full, fullHeap := loadRegistry(b, wire)
+			partial, partialHeap := loadRegistry(b, own)
 			b.ReportMetric(float64(start), "full-start-B")
 			b.ReportMetric(float64(fullBytes), "full-B/h")
 			b.ReportMetric(float64(changesPerHour), "full-msgs/h")
--- a/dispatch/contract/diff.go
+++ b/dispatch/contract/diff.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// FieldChange is one field's change from one revision to another.
+// FieldChange is the change of one field between two revisions.
 type FieldChange struct {
 	Field, From, To string
 }
@@ -16,8 +16,8 @@
 // String implements fmt.Stringer.
 func (c FieldChange) String() string { return fmt.Sprintf("%s: %s -> %s", c.Field, c.From, c.To) }
 
-// isTerm tells the fields that operators agree on from those that describe a
-// change.
+// isTerm reports whether a field is a term of the contract, as opposed to its name and
+// the fields that describe a change.
 func isTerm(field protoreflect.FieldDescriptor) bool {
 	switch field.Name() {
 	case "name", "revision", "change_id", "changed_by", "changed_unix_ms":
@@ -26,14 +26,14 @@
 	return true
 }
 
-// Diff lists the terms that differ, in order of their numbers.
+// Diff returns the terms that differ, in the order of the message's fields.
 func Diff(from, to *pb.Contract) []FieldChange {
 	var changes []FieldChange
 	a, b := from.ProtoReflect(), to.ProtoReflect()
 	for _, field := range terms {
 		if !a.Get(field).Equal(b.Get(field)) {
 			changes = append(changes, FieldChange{
-				Field: string(field.Name()), From: text(field, a.Get(field)), To: text(field, b.Get(field)),
+				Field: string(field.Name()), From: formatValue(field, a.Get(field)), To: formatValue(field, b.Get(field)),
 			})
 		}
 	}
@@ -51,7 +51,7 @@
 	return list
 }()
 
-func text(field protoreflect.FieldDescriptor, value protoreflect.Value) string {
+func formatValue(field protoreflect.FieldDescriptor, value protoreflect.Value) string {
 	if enum := field.Enum(); enum != nil {
 		if named := enum.Values().ByNumber(value.Enum()); named != nil {
 			return string(named.Name())
@@ -63,22 +63,22 @@
 	return value.String()
 }
 
-// merge puts the changes from base to mine on top of theirs. A term that both
-// have changed, and not to the same value, is returned as a clash: then one of
-// two operators has to decide, not a program.
-func merge(base, mine, theirs *pb.Contract) (merged *pb.Contract, clashes []FieldChange) {
+// merge applies the changes from base to ours on top of theirs. A term that both have
+// changed to different values is returned as a conflict, which an operator must
+// resolve.
+func merge(base, ours, theirs *pb.Contract) (merged *pb.Contract, conflicts []FieldChange) {
 	merged = proto.CloneOf(theirs)
-	b, m, t := base.ProtoReflect(), mine.ProtoReflect(), theirs.ProtoReflect()
+	b, o, t := base.ProtoReflect(), ours.ProtoReflect(), theirs.ProtoReflect()
 	for _, field := range terms {
-		switch value := m.Get(field); {
+		switch value := o.Get(field); {
 		case value.Equal(b.Get(field)):
 		case t.Get(field).Equal(b.Get(field)), t.Get(field).Equal(value):
 			merged.ProtoReflect().Set(field, value)
 		default:
-			clashes = append(clashes, FieldChange{
-				Field: string(field.Name()), From: text(field, t.Get(field)), To: text(field, value),
+			conflicts = append(conflicts, FieldChange{
+				Field: string(field.Name()), From: formatValue(field, t.Get(field)), To: formatValue(field, value),
 			})
 		}
 	}
-	return merged, clashes
+	return merged, conflicts
 }
--- a/dispatch/contract/errors.go
+++ b/dispatch/contract/errors.go
@@ -7,18 +7,18 @@
 	"github.com/joomcode/errorx"
 )
 
-// Errors is the namespace of this package's errors.
+// Errors is the namespace of the errors of this package.
 var Errors = errorx.NewNamespace("contract").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// Types of errors.
 var (
-	// ErrInvalid is given for contracts that can't be accepted; see FieldErrors.
+	// ErrInvalid means that a contract is not valid; see FieldErrors.
 	ErrInvalid = Errors.NewType("invalid")
-	// ErrConflict is given for a change made on an old revision; see Changes.
+	// ErrConflict means that a change conflicts with the current revision; see
+	// Changes.
 	ErrConflict = Errors.NewType("conflict")
-	// ErrMalformed is given for stored records that can't be read.
+	// ErrMalformed means that a stored record can't be decoded or is not valid.
 	ErrMalformed = Errors.NewType("malformed")
-	// ErrNotFound is given where a contract or a revision does not exist.
+	// ErrNotFound means that a contract or a revision does not exist.
 	ErrNotFound = Errors.NewType("not_found")
 )
 
@@ -27,7 +27,7 @@
 	changesProperty = errorx.RegisterProperty("changes")
 )
 
-// FieldError is a value that is not allowed. Field is the name as operators
+// FieldError is a field with a value that is not allowed. Field is the name as operators
 // write it.
 type FieldError struct {
 	Field, Value, Allowed string
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("%s: %s is not allowed, want %s", e.Field, e.Value, e.Allowed)
 }
 
-// FieldErrors returns what is wrong with a contract, if the error is ErrInvalid.
+// FieldErrors returns the invalid fields of a contract if err is ErrInvalid.
 func FieldErrors(err error) []FieldError {
 	fields, _ := errorx.ExtractProperty(err, fieldsProperty)
 	list, _ := fields.([]FieldError)
@@ -53,8 +53,9 @@
 	return ErrInvalid.New("%s", strings.Join(texts, "; ")).WithProperty(fieldsProperty, fields)
 }
 
-// Changes returns what has changed since the revision that a change was made on,
-// if the error is ErrConflict and that revision is still kept.
+// Changes returns the changes with which an operator's change conflicts, if err is
+// ErrConflict and the change's base revision is still kept: all changes made since the
+// base revision, or for a rebase those of the same terms.
 func Changes(err error) []FieldChange {
 	changes, _ := errorx.ExtractProperty(err, changesProperty)
 	list, _ := changes.([]FieldChange)
--- a/dispatch/contract/record.go
+++ b/dispatch/contract/record.go
@@ -10,18 +10,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Prefix is where contracts are kept in the store.
+// Prefix is the prefix of the contracts' keys in the store.
 const Prefix = "papayahoist/contracts/"
 
-// MaxHistory is how many earlier revisions a record keeps.
+// MaxHistory is the number of earlier revisions that a record keeps.
 const MaxHistory = 16
 
-// Key is a contract's key in the store.
+// Key returns a contract's key in the store.
 func Key(name string) string { return Prefix + name }
 
-// Encode returns a record as it is stored: JSON with the fields' names of the
-// message, the same bytes for the same record. The contract's own revision is
-// left out, since the store gives it only when the record is written.
+// Encode returns the stored form of a record: JSON with the message's field names. Equal
+// records have equal encodings. The contract's own revision is omitted, since the store
+// assigns it when the record is written.
 func Encode(r *pb.ContractRecord) ([]byte, error) {
 	stored := proto.CloneOf(r)
 	stored.Contract.Revision = 0
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, ErrMalformed.WrapWithNoMessage(err)
 	}
-	// protojson varies its spaces on purpose.
+	// protojson deliberately varies its whitespace.
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, text); err != nil {
 		return nil, ErrMalformed.WrapWithNoMessage(err)
@@ -37,16 +37,16 @@
 	return compact.Bytes(), nil
 }
 
-// Decode reads a stored record of the given key and revision. A record that is
-// not valid is ErrMalformed: somebody has written past this program, and what it
-// held before is to stay in force.
+// Decode decodes the stored record of the given key and revision. It fails with
+// ErrMalformed if the record is not valid: it was written by other means than this
+// program, and the caller must keep the previous contract in force.
 func Decode(key string, value []byte, revision uint64) (*pb.ContractRecord, error) {
 	var r pb.ContractRecord
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(value, &r); err != nil {
 		return nil, ErrMalformed.Wrap(err, "record at %s", key)
 	}
 	if r.Contract == nil || r.Contract.Name != strings.TrimPrefix(key, Prefix) {
-		return nil, ErrMalformed.New("record at %s is one of contract %q", key, r.Contract.GetName())
+		return nil, ErrMalformed.New("record at %s belongs to contract %q", key, r.Contract.GetName())
 	}
 	if err := Validate(r.Contract); err != nil {
 		return nil, ErrMalformed.Wrap(err, "record at %s", key)
--- a/dispatch/contract/registry.go
+++ b/dispatch/contract/registry.go
@@ -8,14 +8,14 @@
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// Snapshot is the contracts in force at one moment. It is immutable and may be
-// used by any number of goroutines.
+// Snapshot is the set of contracts in force at one moment. It is immutable and safe for
+// concurrent use.
 type Snapshot struct {
-	byName  map[string]*pb.Contract
-	covered uint64
+	byName       map[string]*pb.Contract
+	completeUpTo uint64
 }
 
-// Get returns a contract in force, nil when there is none or it was deleted.
+// Get returns a contract in force, nil if there is none or it was deleted.
 func (s *Snapshot) Get(name string) *pb.Contract {
 	c := s.byName[name]
 	if c.GetDeleted() {
@@ -24,16 +24,16 @@
 	return c
 }
 
-// Held returns what is held for a name, tombstones too; nil for nothing.
+// Held returns the contract or tombstone that is held for a name, nil if there is none.
 func (s *Snapshot) Held(name string) *pb.Contract { return s.byName[name] }
 
-// Len counts what is held, tombstones included.
+// Len returns the number of contracts held, including tombstones.
 func (s *Snapshot) Len() int { return len(s.byName) }
 
-// Covered is the revision up to which no change of any contract is missing.
-func (s *Snapshot) Covered() uint64 { return s.covered }
+// Covered returns the revision up to which no change of any contract is missing.
+func (s *Snapshot) Covered() uint64 { return s.completeUpTo }
 
-// All returns the contracts in force, by name.
+// All returns the contracts in force, sorted by name.
 func (s *Snapshot) All() []*pb.Contract {
 	var all []*pb.Contract
 	for _, c := range s.byName {
@@ -45,10 +45,10 @@
 	return all
 }
 
-// Since returns at most limit contracts, tombstones included, that changed after
-// a revision, oldest change first. A receiver that was covered up to the revision
-// and applies them is covered up to the second result, which is the lower one when
-// the receiver is ahead.
+// Since returns at most limit contracts, including tombstones, that changed after a
+// revision, oldest change first. A receiver that was complete up to that revision and
+// applies them is complete up to the second result, which is lower than the given
+// revision if the receiver is ahead.
 func (s *Snapshot) Since(revision uint64, limit int) ([]*pb.Contract, uint64) {
 	var changed []*pb.Contract
 	for _, c := range s.byName {
@@ -58,16 +58,16 @@
 	}
 	slices.SortFunc(changed, func(a, b *pb.Contract) int { return cmp.Compare(a.Revision, b.Revision) })
 	if len(changed) <= limit {
-		return changed, s.covered
+		return changed, s.completeUpTo
 	}
 	changed = changed[:limit]
-	return changed, min(changed[limit-1].Revision, s.covered)
+	return changed, min(changed[limit-1].Revision, s.completeUpTo)
 }
 
-// Registry holds the highest revision of each contract that was ever applied. It
-// never goes back, whatever it is given: an old read of the store, a peer that
-// was cut off, a message that was late. Callers serialize its methods; the
-// snapshots may be handed on.
+// Registry holds the highest revision of each contract that was ever applied. It never
+// returns to an older one, whatever it is given: an outdated read of the store, the
+// state of a peer that was partitioned, or a delayed message. Callers must serialize
+// calls of its methods; snapshots may be shared.
 type Registry struct {
 	snapshot *Snapshot
 }
@@ -77,34 +77,34 @@
 	return &Registry{snapshot: &Snapshot{byName: map[string]*pb.Contract{}}}
 }
 
-// Snapshot returns what is in force now.
+// Snapshot returns the contracts in force now.
 func (r *Registry) Snapshot() *Snapshot { return r.snapshot }
 
-// Apply takes in contracts with their revisions and returns those that were
-// newer than what was held. The caller knows that they are all changes after
-// revision since up to revision upTo; if it knows nothing both are zero.
+// Apply applies contracts with their revisions and returns those that were newer than
+// the ones held. The caller asserts that they are all changes after revision since up to
+// revision upTo; it passes zero for both if it can't.
 //
-// What was meant for another process, or for this one before it was restarted,
-// may begin behind a gap; then the contracts are taken, and what is covered stays.
+// A message intended for another process, or for this one before a restart, may leave a
+// gap before since. Then the contracts are applied, and Covered does not change.
 func (r *Registry) Apply(contracts []*pb.Contract, since, upTo uint64) []*pb.Contract {
 	var newer []*pb.Contract
-	next := r.snapshot.byName
+	updated := r.snapshot.byName
 	for _, c := range contracts {
-		if c.Name == "" || c.Revision <= next[c.Name].GetRevision() {
+		if c.Name == "" || c.Revision <= updated[c.Name].GetRevision() {
 			continue
 		}
 		if newer == nil {
-			next = maps.Clone(next)
+			updated = maps.Clone(updated)
 		}
-		next[c.Name] = c
+		updated[c.Name] = c
 		newer = append(newer, c)
 	}
-	covered := r.snapshot.covered
-	if since <= covered {
-		covered = max(covered, upTo)
+	completeUpTo := r.snapshot.completeUpTo
+	if since <= completeUpTo {
+		completeUpTo = max(completeUpTo, upTo)
 	}
-	if newer != nil || covered > r.snapshot.covered {
-		r.snapshot = &Snapshot{byName: next, covered: covered}
+	if newer != nil || completeUpTo > r.snapshot.completeUpTo {
+		r.snapshot = &Snapshot{byName: updated, completeUpTo: completeUpTo}
 	}
 	return newer
 }
--- a/dispatch/contract/seed_test.go
+++ b/dispatch/contract/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// CI must come to the same verdict each time; -rapid.seed=0 draws anew.
+// CI must reach the same verdict in each run; -rapid.seed=0 selects a random seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/dispatch/contract/validate.go
+++ b/dispatch/contract/validate.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Limits of a contract's fields. Zero is allowed for rate, concurrency, memory
-// and waiting tasks and means that none is allowed, which suspends a customer.
+// Limits of a contract's fields. Zero is valid for rate, concurrency, memory and waiting
+// tasks and means that none is allowed, which suspends a customer.
 const (
 	MaxNameLength   = 63
 	MaxWeight       = 1000
@@ -29,8 +29,8 @@
 	MaxAuthorLength = 128
 )
 
-// Defaults of fields that an operator leaves out. The burst's is what the rate
-// gives in a second.
+// Defaults of fields that an operator omits. The default burst is the number of starts
+// that the rate allows in a second.
 const (
 	DefaultClass   = pb.Class_CLASS_NORMAL
 	DefaultWeight  = 1
@@ -43,7 +43,7 @@
 	idPattern   = regexp.MustCompile(`^[A-Za-z0-9._-]+$`)
 )
 
-// WithDefaults returns a copy with the fields filled in that were left out.
+// WithDefaults returns a copy of the contract with defaults for the omitted fields.
 func WithDefaults(c *pb.Contract) *pb.Contract {
 	c = proto.CloneOf(c)
 	if c.Class == pb.Class_CLASS_UNSPECIFIED {
@@ -57,8 +57,8 @@
 	return c
 }
 
-// Validate returns ErrInvalid with every field that is not allowed. Defaults
-// must have been filled in.
+// Validate returns ErrInvalid with every invalid field, or nil. Defaults must have been
+// filled in.
 func Validate(c *pb.Contract) error {
 	var v validator
 	v.text("name", c.Name, MaxNameLength, namePattern, "of a-z, 0-9 and -, not starting with -")
@@ -68,24 +68,25 @@
 	if _, known := pb.Class_name[int32(c.Class)]; !known || c.Class == pb.Class_CLASS_UNSPECIFIED {
 		v.add("class", c.Class.String(), "CLASS_URGENT, CLASS_NORMAL or CLASS_BULK")
 	}
-	v.whole("weight", uint64(c.Weight), 1, MaxWeight)
+	v.integer("weight", uint64(c.Weight), 1, MaxWeight)
 	if !(c.Rate >= 0 && c.Rate <= MaxRate) {
-		v.add("rate", strconv.FormatFloat(c.Rate, 'g', -1, 64), fmt.Sprintf("0 to %d starts a second", int(MaxRate)))
+		v.add("rate", strconv.FormatFloat(c.Rate, 'g', -1, 64), fmt.Sprintf("0 to %d starts per second", int(MaxRate)))
 	}
-	v.whole("burst", uint64(c.Burst), leastBurst(c.Rate), MaxBurst)
-	v.whole("concurrency", uint64(c.Concurrency), 0, MaxConcurrency)
-	v.whole("memory_bytes", c.MemoryBytes, 0, MaxMemoryBytes)
-	v.whole("waiting", uint64(c.Waiting), 0, MaxWaiting)
-	v.whole("default_timeout_ms", uint64(c.DefaultTimeoutMs),
+	v.integer("burst", uint64(c.Burst), minBurst(c.Rate), MaxBurst)
+	v.integer("concurrency", uint64(c.Concurrency), 0, MaxConcurrency)
+	v.integer("memory_bytes", c.MemoryBytes, 0, MaxMemoryBytes)
+	v.integer("waiting", uint64(c.Waiting), 0, MaxWaiting)
+	v.integer("default_timeout_ms", uint64(c.DefaultTimeoutMs),
 		uint64(MinTimeout/time.Millisecond), uint64(MaxTimeout/time.Millisecond))
 	if c.TokenSha256 != "" && !hashPattern.MatchString(c.TokenSha256) {
-		v.add("token_sha256", strconv.Quote(c.TokenSha256), "64 digits of 0-9 and a-f, or nothing")
+		v.add("token_sha256", strconv.Quote(c.TokenSha256), "64 digits of 0-9 and a-f, or empty")
 	}
 	return v.result()
 }
 
-// leastBurst keeps a contract with a rate from never starting anything.
-func leastBurst(rate float64) uint64 {
+// minBurst returns the smallest valid burst. With a positive rate it is 1, since a
+// contract without a burst would never start a task.
+func minBurst(rate float64) uint64 {
 	if rate > 0 {
 		return 1
 	}
@@ -98,15 +99,15 @@
 	v.fields = append(v.fields, FieldError{Field: field, Value: value, Allowed: allowed})
 }
 
-func (v *validator) whole(field string, value, least, most uint64) {
-	if value < least || value > most {
-		v.add(field, strconv.FormatUint(value, 10), fmt.Sprintf("%d to %d", least, most))
+func (v *validator) integer(field string, value, minimum, maximum uint64) {
+	if value < minimum || value > maximum {
+		v.add(field, strconv.FormatUint(value, 10), fmt.Sprintf("%d to %d", minimum, maximum))
 	}
 }
 
-func (v *validator) text(field, value string, most int, pattern *regexp.Regexp, allowed string) {
-	if len(value) > most || !pattern.MatchString(value) {
-		v.add(field, strconv.Quote(value), fmt.Sprintf("1 to %d characters %s", most, allowed))
+func (v *validator) text(field, value string, maxLength int, pattern *regexp.Regexp, allowed string) {
+	if len(value) > maxLength || !pattern.MatchString(value) {
+		v.add(field, strconv.Quote(value), fmt.Sprintf("1 to %d characters %s", maxLength, allowed))
 	}
 }
 
