--- a/dispatch/modelcheck/caller.go
+++ b/dispatch/modelcheck/caller.go
@@ -14,13 +14,13 @@
 
 const (
 	jobsPerSchedule = 14
-	// Full tables take more.
+	// jobsPerSmallSchedule is higher, to fill the small tables.
 	jobsPerSmallSchedule = 28
 )
 
 func (w *World) scheduleCallers() {
 	n := jobsPerSchedule
-	if w.profile.small {
+	if w.profile.smallTables {
 		n = jobsPerSmallSchedule
 	}
 	for i := range n {
@@ -28,8 +28,9 @@
 	}
 }
 
-// newJob makes a job whose id carries the token of one entry, sends it there or
-// elsewhere, and goes on to do what callers do with a job they believe lost.
+// newJob submits a new job to its home, the entry whose token its id contains, and
+// schedules what callers may do afterwards: resubmit or cancel it at any entry, submit
+// another body under its id, or try to access it as another customer.
 func (w *World) newJob(i int) {
 	home := w.entries[w.rng.IntN(numEntries)]
 	if !home.alive {
@@ -39,44 +40,44 @@
 		Id: home.core.Token(w.now).String() + ".j" + strconv.Itoa(i), Contract: "desk", Kind: "gauge",
 		TimeoutMs: uint32(300 + w.rng.IntN(1700)),
 	}
-	if w.profile.long {
+	if w.profile.longPauses {
 		// Long enough to outlive a pause.
 		j.TimeoutMs += 3000
 	}
 	for t := range 1 + w.rng.IntN(4) {
 		j.Tasks = append(j.Tasks, &pb.Task{Payload: []byte(fmt.Sprintf("%d/%d", i, t))})
 	}
-	truth := &jobTruth{job: j, home: home, started: make([]int, len(j.Tasks)), runs: make(map[int]*agentProcess), sealed: make(map[*agentProcess]bool), sentTo: make(map[int]*agentProcess)}
+	truth := &jobTruth{job: j, home: home, started: make([]int, len(j.Tasks)), runs: make(map[int]*agentProcess), fencedAt: make(map[*agentProcess]bool), sentTo: make(map[int]*agentProcess)}
 	w.jobs[job.Name(j.Contract, j.Id)] = truth
-	w.order = append(w.order, truth)
+	w.jobsInOrder = append(w.jobsInOrder, truth)
 	w.submit(home, j)
 	for range w.rng.IntN(4) {
-		w.after(w.between(1, 3000), func() { w.submit(w.anyEntry(), j) })
+		w.after(w.randomDuration(1, 3000), func() { w.submit(w.randomEntry(), j) })
 	}
 	if w.chance(0.1) {
-		w.after(w.between(1, 9000), func() { w.submit(w.anyEntry(), j) })
+		w.after(w.randomDuration(1, 9000), func() { w.submit(w.randomEntry(), j) })
 	}
 	if w.chance(0.15) {
-		w.after(w.between(1, 800), func() { w.cancel(w.anyEntry(), j) })
+		w.after(w.randomDuration(1, 800), func() { w.cancel(w.randomEntry(), j) })
 	}
 	if w.chance(0.1) {
-		other := &pb.Job{Id: j.Id, Contract: "desk", Kind: "gauge", TimeoutMs: j.TimeoutMs, Tasks: []*pb.Task{{Payload: []byte("other")}}}
-		w.after(w.between(1, 3000), func() { w.submit(w.anyEntry(), other) })
+		conflicting := &pb.Job{Id: j.Id, Contract: "desk", Kind: "gauge", TimeoutMs: j.TimeoutMs, Tasks: []*pb.Task{{Payload: []byte("other")}}}
+		w.after(w.randomDuration(1, 3000), func() { w.submit(w.randomEntry(), conflicting) })
 	}
 	if w.chance(0.1) {
-		w.after(w.between(1, 3000), func() { w.foreign(w.anyEntry(), j) })
+		w.after(w.randomDuration(1, 3000), func() { w.accessAsOther(w.randomEntry(), j) })
 	}
 }
 
-func (w *World) anyEntry() *entryProcess { return w.entries[w.rng.IntN(numEntries)] }
+func (w *World) randomEntry() *entryProcess { return w.entries[w.rng.IntN(numEntries)] }
 
 func (w *World) submit(e *entryProcess, j *pb.Job) {
-	w.after(w.delay(), func() { w.run(&e.process, func() { w.route(e, j, false) }) })
+	w.after(w.randomDelay(), func() { w.run(&e.process, func() { w.route(e, j, false) }) })
 }
 
 func (w *World) cancel(e *entryProcess, j *pb.Job) {
 	w.tracef("caller cancels %s at %s", shortID(j.Id), e.name)
-	w.after(w.delay(), func() { w.run(&e.process, func() { w.route(e, j, true) }) })
+	w.after(w.randomDelay(), func() { w.run(&e.process, func() { w.route(e, j, true) }) })
 }
 
 func shortID(id string) string {
@@ -84,11 +85,11 @@
 	if err != nil {
 		return id
 	}
-	return short(p.Home.Incarnation) + "." + p.Key
+	return shortIncarnation(p.Home.Incarnation) + "." + p.Key
 }
 
-// foreign is another customer who has come by the id of a job.
-func (w *World) foreign(e *entryProcess, j *pb.Job) {
+// accessAsOther tries to fetch and cancel a job as another customer who knows its id.
+func (w *World) accessAsOther(e *entryProcess, j *pb.Job) {
 	w.run(&e.process, func() {
 		if a, known := e.core.Fetch(j.Id, "other"); known || a != nil {
 			w.violation("contract other reads job %s", j.Id)
@@ -100,7 +101,8 @@
 	})
 }
 
-// route does what the driver of an entry does with a caller's request.
+// route handles a caller's request as the driver of an entry does: the home serves it,
+// another entry forwards it to the home, or recovers the job if the home is not listed.
 func (w *World) route(e *entryProcess, j *pb.Job, cancel bool) {
 	id, _ := job.Parse(j.Id)
 	if id.Home.Incarnation == e.incarnation {
@@ -114,7 +116,8 @@
 	w.recover(e, j, cancel, false)
 }
 
-// forwardTimeout is when an entry gives up on the home and asks the agents.
+// forwardTimeout is how long an entry waits for the home before it recovers the job from
+// the agents.
 const forwardTimeout = 400 * time.Millisecond
 
 func (w *World) forward(e *entryProcess, name, incarnation string, j *pb.Job, cancel bool) {
@@ -124,15 +127,15 @@
 			w.run(&e.process, func() { w.recover(e, j, cancel, false) })
 		}
 	})
-	if w.cut(e.name, name) {
+	if w.partitioned(e.name, name) {
 		return
 	}
-	w.after(w.delay(), func() {
+	w.after(w.randomDelay(), func() {
 		to := w.entryNamed(name)
 		if to.incarnation != incarnation {
-			// The home's address answers as another process.
+			// Another process answers at the home's address.
 			answered = true
-			w.after(w.delay(), func() { w.run(&e.process, func() { w.recover(e, j, cancel, true) }) })
+			w.after(w.randomDelay(), func() { w.run(&e.process, func() { w.recover(e, j, cancel, true) }) })
 			return
 		}
 		w.run(&to.process, func() { answered = true; w.serve(to, j, cancel) })
@@ -165,7 +168,7 @@
 		return
 	}
 	admission, a := e.core.Submit(w.now, j)
-	w.tracef("%s takes %s: admission %d %v %s", e.name, shortID(j.Id), admission, a.GetOutcome(), a.GetCode())
+	w.tracef("%s handles submission of %s: admission %d %v %s", e.name, shortID(j.Id), admission, a.GetOutcome(), a.GetCode())
 	t := w.jobs[job.Name(j.Contract, j.Id)]
 	switch admission {
 	case entry.Accepted:
@@ -179,14 +182,14 @@
 	w.pumpEntry(e)
 }
 
-// endpointRun is the endpoint's side of a start.
-func (w *World) endpointRun(a *agentProcess, r agent.Run) {
+// endpointStart simulates the endpoint's handling of a start.
+func (w *World) endpointStart(a *agentProcess, r agent.Run) {
 	if w.chance(0.06) {
-		w.after(w.between(1, 60), func() { w.taskEnded(a, r.TaskRef, pb.Outcome_OUTCOME_NOT_RUN, nil) })
+		w.after(w.randomDuration(1, 60), func() { w.taskEnded(a, r.TaskRef, pb.Outcome_OUTCOME_NOT_RUN, nil) })
 		return
 	}
 	w.checkStart(a, r)
-	d := w.between(5, 300)
+	d := w.randomDuration(5, 300)
 	if left := r.Deadline.Sub(w.now); d > left {
 		w.after(left, func() { w.taskEnded(a, r.TaskRef, pb.Outcome_OUTCOME_FAILED, nil) })
 		return
@@ -200,7 +203,7 @@
 
 func (w *World) endpointStop(a *agentProcess, ref agent.TaskRef) {
 	a.stopped[ref] = true
-	w.after(w.between(1, 20), func() { w.taskEnded(a, ref, pb.Outcome_OUTCOME_FAILED, nil) })
+	w.after(w.randomDuration(1, 20), func() { w.taskEnded(a, ref, pb.Outcome_OUTCOME_FAILED, nil) })
 }
 
 func (w *World) taskEnded(a *agentProcess, ref agent.TaskRef, outcome pb.Outcome, body []byte) {
--- a/dispatch/modelcheck/check.go
+++ b/dispatch/modelcheck/check.go
@@ -9,23 +9,24 @@
 	"github.com/papayahoist/papayahoist/dispatch/job"
 )
 
-// jobTruth is what really happened to a job.
+// jobTruth is the ground truth on a job: what actually happened to it.
 type jobTruth struct {
 	job  *pb.Job
 	home *entryProcess
 
+	// started counts the starts of each task, runs holds where it started last.
 	started []int
 	runs    map[int]*agentProcess
-	// sentTo is where each task was sent last.
+	// sentTo is the agent to which the home sent each task last.
 	sentTo map[int]*agentProcess
 
 	acceptedAt        time.Time
 	answer            *pb.Answer // the home's, or the recovery's
 	notRun, cancelled bool
-	// recovered: some entry took the home for gone, rightly or not. sealed holds
-	// the agent processes that said to have fenced the job.
+	// recovered is set when some entry assumes, rightly or not, that the home is gone.
+	// fencedAt holds the agent processes that reported to have fenced the job.
 	recovered bool
-	sealed    map[*agentProcess]bool
+	fencedAt  map[*agentProcess]bool
 }
 
 func (w *World) checkStart(a *agentProcess, r agent.Run) {
@@ -33,7 +34,7 @@
 	w.tracef("%s starts %s/%d", a.name, shortID(r.Job), r.Task)
 	t := w.jobs[job.Name(r.Contract, r.Job)]
 	if t == nil {
-		w.violation("start of a job nobody sent: %s", r.Job)
+		w.violation("start of a job that no caller submitted: %s", r.Job)
 		return
 	}
 	t.started[r.Task]++
@@ -41,16 +42,16 @@
 	if t.started[r.Task] > 1 {
 		w.violation("task %s/%d started %d times", shortID(r.Job), r.Task, t.started[r.Task])
 	}
-	if t.sealed[a] {
-		w.violation("task %s/%d started at %s behind its fence", shortID(r.Job), r.Task, a.name)
+	if t.fencedAt[a] {
+		w.violation("task %s/%d started at %s, which had fenced the job", shortID(r.Job), r.Task, a.name)
 	}
 	if t.notRun {
 		w.violation("task %s/%d started after \"not run\"", shortID(r.Job), r.Task)
 	}
 }
 
-// accepted notes that a home has taken a job in, and that it owes an answer.
-// With two bodies under one id, the first to arrive is the job.
+// accepted records that a home has accepted a job, and checks later that the job has been
+// answered. If two bodies are submitted under one id, the first to arrive is the job.
 func (w *World) accepted(e *entryProcess, t *jobTruth, j *pb.Job) {
 	if !t.acceptedAt.IsZero() {
 		w.violation("job %s accepted twice", shortID(t.job.Id))
@@ -59,8 +60,8 @@
 	t.job = j
 	bound := time.Duration(t.job.TimeoutMs)*time.Millisecond + 300*time.Millisecond
 	w.after(bound, func() {
-		if e.alive && !e.disturbed && t.answer == nil {
-			w.violation("job %s has no answer by its deadline and a bound", shortID(t.job.Id))
+		if e.alive && !e.wasPaused && t.answer == nil {
+			w.violation("job %s was not answered within the allowed time after its deadline", shortID(t.job.Id))
 		}
 	})
 }
@@ -74,13 +75,13 @@
 	if t.answer == nil {
 		w.report.Answers[a.Outcome]++
 		if a.Outcome == pb.Outcome_OUTCOME_UNKNOWN {
-			w.judgeUnknown(e, t)
+			w.classifyUnknown(e, t)
 		}
 	}
 	w.checkAnswer(e, a)
 }
 
-// checkFrame looks at what an entry sends: nothing of a job that it has answered.
+// checkFrame checks that an entry sends no start of a job that it has answered.
 func (w *World) checkFrame(c *connection, f *pb.EntryFrame) {
 	for _, b := range f.Starts {
 		t := w.jobs[b.Job]
@@ -88,7 +89,7 @@
 			continue
 		}
 		if t.answer != nil {
-			w.violation("%s sends a start of %s, which it has answered", c.entry.name, shortID(t.job.Id))
+			w.violation("%s sends a start of job %s, which it has answered", c.entry.name, shortID(t.job.Id))
 		}
 		for _, start := range b.Tasks {
 			t.sentTo[int(start.Task)] = c.agent
@@ -96,16 +97,16 @@
 	}
 }
 
-// noteFences notes what an agent says that it has fenced.
-func (w *World) noteFences(a *agentProcess, f *pb.AgentFrame) {
+// recordFences records the fences that an agent reports.
+func (w *World) recordFences(a *agentProcess, f *pb.AgentFrame) {
 	for _, r := range f.Fenced {
 		if t := w.jobs[r.Job]; t != nil && !r.Evicted && !r.HomeAlive {
-			t.sealed[a] = true
+			t.fencedAt[a] = true
 		}
 	}
 }
 
-// checkAnswer checks one answer, first or repeated, against what happened.
+// checkAnswer checks an answer, first or repeated, against what actually happened.
 func (w *World) checkAnswer(e *entryProcess, a *pb.Answer) {
 	t := w.jobs[job.Name("desk", a.Job)]
 	if t == nil {
@@ -126,7 +127,7 @@
 		w.violation("answer %v of %s carries results", a.Outcome, shortID(a.Job))
 	}
 	if e == t.home {
-		w.checkSame(t, a)
+		w.checkConsistent(t, a)
 	}
 }
 
@@ -143,9 +144,9 @@
 	}
 }
 
-// checkSame holds a home to its first answer: a resubmission gets the same, or
-// once that is no longer kept, that nothing is known.
-func (w *World) checkSame(t *jobTruth, a *pb.Answer) {
+// checkConsistent checks that a home repeats its first answer: a resubmission gets the
+// same outcome, or "not found" once the answer is no longer kept.
+func (w *World) checkConsistent(t *jobTruth, a *pb.Answer) {
 	if t.answer == nil {
 		t.answer = a
 		return
@@ -155,69 +156,71 @@
 	}
 }
 
-// judgeUnknown decides whether anybody could have known better: a task that was
-// started where the answering entry can't hear, or a home that is gone.
-func (w *World) judgeUnknown(e *entryProcess, t *jobTruth) {
-	if w.knowable(e, t) {
+// classifyUnknown counts an answer "outcome unknown" as avoidable if the answering entry
+// could have learned the outcome. It could not if an agent that had one of the job's
+// tasks can't be reached, or if the home is gone.
+func (w *World) classifyUnknown(e *entryProcess, t *jobTruth) {
+	if w.outcomeKnowable(e, t) {
 		w.report.UnknownAvoidable++
 		return
 	}
-	w.report.UnknownNeeded++
+	w.report.UnknownUnavoidable++
 }
 
-func (w *World) knowable(e *entryProcess, t *jobTruth) bool {
+func (w *World) outcomeKnowable(e *entryProcess, t *jobTruth) bool {
 	if e != t.home {
-		// Of a dead home nobody can prove what it sent and where; complete is
-		// provable when every task ended at an agent that lives and is reached.
+		// Without the home, no entry can prove what was sent where. It can prove that
+		// the job is complete if every task started at an agent that runs and is
+		// reachable.
 		for i := range t.started {
 			a := t.runs[i]
-			if a == nil || !a.alive || w.cut(a.name, e.name) || w.now.Before(a.pausedUntil) {
+			if a == nil || !a.alive || w.partitioned(a.name, e.name) || w.now.Before(a.pausedUntil) {
 				return false
 			}
 		}
 		return true
 	}
-	// The home knows what it sent, and the agent what came of it.
+	// The home knows which agents it sent the tasks to, and these know the outcomes.
 	for i := range t.started {
-		if a := t.sentTo[i]; a != nil && (!a.alive || w.cut(a.name, e.name) || w.now.Before(a.pausedUntil)) {
+		if a := t.sentTo[i]; a != nil && (!a.alive || w.partitioned(a.name, e.name) || w.now.Before(a.pausedUntil)) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkBounds holds an agent to its memory bounds.
+// checkBounds checks that an agent keeps to its limits on records and fences.
 func (w *World) checkBounds(a *agentProcess) {
 	s := a.core.Size()
 	if limit := w.profile.maxRecords(); limit > 0 && s.Tasks > limit {
-		w.violation("%s remembers %d tasks, more than %d", a.name, s.Tasks, limit)
+		w.violation("%s has records of %d tasks, more than %d", a.name, s.Tasks, limit)
 	}
 	if limit := w.profile.maxFences(); limit > 0 && s.Fences > limit {
 		w.violation("%s holds %d fences, more than %d", a.name, s.Fences, limit)
 	}
 }
 
-// checkEnd checks what must hold once all has settled.
+// checkEnd checks what must hold at the end of the schedule.
 func (w *World) checkEnd() {
 	if len(w.report.Violations) > 0 {
 		return
 	}
 	for _, a := range w.agents {
 		if n := a.core.Size().Held; n > 0 && a.alive {
-			w.violation("%s still holds %d tasks that nobody waits for", a.name, n)
+			w.violation("%s still holds %d task records that can't be evicted", a.name, n)
 		}
 	}
-	if !w.profile.onlyLinks() {
+	if !w.profile.linkFaultsOnly() {
 		return
 	}
-	for _, t := range w.order {
-		w.checkNothingLost(t)
+	for _, t := range w.jobsInOrder {
+		w.checkNoJobLost(t)
 	}
 }
 
-// checkNothingLost: where processes stay up and only links fail, a job with time
-// to spare can't end as anything but what its tasks did.
-func (w *World) checkNothingLost(t *jobTruth) {
+// checkNoJobLost checks a job of a schedule in which only links fail: if its deadline
+// leaves enough time, its outcome must be that of its tasks.
+func (w *World) checkNoJobLost(t *jobTruth) {
 	if t.acceptedAt.IsZero() || t.answer == nil || t.cancelled || t.recovered || t.job.TimeoutMs < 1500 {
 		return
 	}
@@ -233,5 +236,5 @@
 			return
 		}
 	}
-	w.violation("job %s, with time to spare, ended %v %s", shortID(t.job.Id), t.answer.Outcome, t.answer.Code)
+	w.violation("job %s, with sufficient time, ended %v %s", shortID(t.job.Id), t.answer.Outcome, t.answer.Code)
 }
--- a/dispatch/modelcheck/doc.go
+++ b/dispatch/modelcheck/doc.go
@@ -1,8 +1,8 @@
-// Package modelcheck runs many entries and agents, decisions only, on virtual
-// time under random faults, and checks every promise about outcomes at each step.
+// Package modelcheck runs the state machines of several entries and agents on virtual
+// time under random faults, and checks all guarantees about outcomes at each step.
 //
-// One seed is one schedule: the same seed gives the same run, event by event. A
+// A seed defines a schedule: the same seed gives the same sequence of events. A
 // World holds the processes, the links between them and callers that submit,
-// resubmit and cancel; faults come from the schedule's Profile. What the checker
-// knows of real starts comes from the endpoints, never from the code under test.
+// resubmit and cancel jobs; the schedule's Profile defines the faults. The checker
+// learns of actual starts from the simulated endpoints, never from the code under test.
 package modelcheck
--- a/dispatch/modelcheck/event.go
+++ b/dispatch/modelcheck/event.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// event is something that happens at a time; ties go by the order of scheduling.
+// event is a function to run at a time. Events of equal time run in the order in which
+// they were scheduled.
 type event struct {
 	at  time.Time
 	seq uint64
@@ -34,7 +35,7 @@
 	return e
 }
 
-// clock is virtual time with its pending events.
+// clock is a virtual clock with its pending events.
 type clock struct {
 	now    time.Time
 	events eventHeap
@@ -51,7 +52,7 @@
 
 func (c *clock) after(d time.Duration, run func()) { c.at(c.now.Add(d), run) }
 
-// step runs the next event; false when none is left before the end.
+// step runs the next event. It returns false if there is none up to the end.
 func (c *clock) step(end time.Time) bool {
 	if len(c.events) == 0 || c.events[0].at.After(end) {
 		return false
--- a/dispatch/modelcheck/modelcheck_test.go
+++ b/dispatch/modelcheck/modelcheck_test.go
@@ -19,16 +19,16 @@
 
 const workers = 4
 
-// Anything may fail at any moment, together or twice. Whatever the order, no
-// task starts twice, no answer is partial, "not run" stays true, and a job that
-// was taken in gets its answer.
+// Any component may fail at any time, repeatedly or together with others. In every
+// schedule no task starts twice, no answer is partial, an answer "not run" stays true,
+// and each accepted job is answered.
 func TestSchedules(t *testing.T) {
 	if *oneSeed != 0 {
 		report(t, modelcheck.Check(*oneSeed, true))
 		return
 	}
 	var mu sync.Mutex
-	sum := make(map[string]*total)
+	sum := make(map[string]*totals)
 	var wg sync.WaitGroup
 	for worker := range workers {
 		wg.Go(func() {
@@ -37,7 +37,7 @@
 				mu.Lock()
 				add(sum, r)
 				if len(r.Violations) > 0 {
-					t.Errorf("seed %d (%s): %s\nagain with -run TestSchedules -seed %d", r.Seed, r.Profile, strings.Join(r.Violations, "; "), r.Seed)
+					t.Errorf("seed %d (%s): %s\nreproduce with -run TestSchedules -seed %d", r.Seed, r.Profile, strings.Join(r.Violations, "; "), r.Seed)
 				}
 				failed := t.Failed()
 				mu.Unlock()
@@ -53,40 +53,40 @@
 	}
 }
 
-// foundSeeds are schedules that have shown a fault and are not of the fixed set:
-// 5013803, a leaving agent waited for an entry that knew it and had crashed since.
-var foundSeeds = []uint64{5013803}
+// regressionSeeds are schedules outside the default set that have revealed a fault:
+// 5013803, a draining agent waited for an entry that had known it and then crashed.
+var regressionSeeds = []uint64{5013803}
 
-// Schedules that have shown a fault once must not show it again.
-func TestFoundSeeds(t *testing.T) {
-	for _, seed := range foundSeeds {
+// Schedules that have revealed a fault must pass.
+func TestRegressionSeeds(t *testing.T) {
+	for _, seed := range regressionSeeds {
 		if r := modelcheck.Check(seed, false); len(r.Violations) > 0 {
 			t.Errorf("seed %d (%s): %s", r.Seed, r.Profile, strings.Join(r.Violations, "; "))
 		}
 	}
 }
 
-type total struct {
-	schedules, jobs, starts, needed, avoidable int
-	answers                                    map[pb.Outcome]int
+type totals struct {
+	schedules, jobs, starts, unavoidable, avoidable int
+	answers                                         map[pb.Outcome]int
 }
 
-func (s *total) String() string {
-	return fmt.Sprintf("schedules %d jobs %d starts %d complete %d failed %d not run %d unknown %d (needed %d, avoidable %d)",
+func (s *totals) String() string {
+	return fmt.Sprintf("schedules %d jobs %d starts %d complete %d failed %d not run %d unknown %d (unavoidable %d, avoidable %d)",
 		s.schedules, s.jobs, s.starts, s.answers[pb.Outcome_OUTCOME_COMPLETE], s.answers[pb.Outcome_OUTCOME_FAILED],
-		s.answers[pb.Outcome_OUTCOME_NOT_RUN], s.answers[pb.Outcome_OUTCOME_UNKNOWN], s.needed, s.avoidable)
+		s.answers[pb.Outcome_OUTCOME_NOT_RUN], s.answers[pb.Outcome_OUTCOME_UNKNOWN], s.unavoidable, s.avoidable)
 }
 
-func add(sum map[string]*total, r *modelcheck.Report) {
+func add(sum map[string]*totals, r *modelcheck.Report) {
 	s := sum[r.Profile]
 	if s == nil {
-		s = &total{answers: make(map[pb.Outcome]int)}
+		s = &totals{answers: make(map[pb.Outcome]int)}
 		sum[r.Profile] = s
 	}
 	s.schedules++
 	s.jobs += r.Jobs
 	s.starts += r.Starts
-	s.needed += r.UnknownNeeded
+	s.unavoidable += r.UnknownUnavoidable
 	s.avoidable += r.UnknownAvoidable
 	for o, n := range r.Answers {
 		s.answers[o] += n
@@ -100,12 +100,13 @@
 	}
 }
 
-// A schedule that can't be repeated can't be mended.
-func TestSameSeedSameRun(t *testing.T) {
+// Equal seeds must give equal traces, since a fault can be debugged only in a schedule
+// that can be reproduced.
+func TestSchedulesAreReproducible(t *testing.T) {
 	for seed := uint64(1); seed < 40; seed++ {
 		a, b := modelcheck.Check(seed, true), modelcheck.Check(seed, true)
 		if x, y := strings.Join(a.Trace, "\n"), strings.Join(b.Trace, "\n"); x != y {
-			t.Fatalf("seed %d gave two runs:\n%s\n---\n%s", seed, x, y)
+			t.Fatalf("seed %d gave two different traces:\n%s\n---\n%s", seed, x, y)
 		}
 	}
 }
--- a/dispatch/modelcheck/mutate.sh
+++ b/dispatch/modelcheck/mutate.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the schedules against each mutation of a check's mutations.txt, on an overlay:
-# the sources stay as they are. Prints the first seed that catches it. Usage:
-# mutate.sh [schedules [modelcheck|leasedcheck]]
+# Runs the schedules against each mutation in a check's mutations.txt and prints the first
+# seed that detects it. Mutations are applied in an overlay: the sources stay unchanged.
+# Usage: mutate.sh [schedules [modelcheck|leasedcheck]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 schedules=${1:-20000}
--- a/dispatch/modelcheck/process.go
+++ b/dispatch/modelcheck/process.go
@@ -10,13 +10,13 @@
 	"github.com/papayahoist/papayahoist/dispatch/link"
 )
 
-// process is what entries and agents have in common.
+// process is the state common to entries and agents.
 type process struct {
 	name, incarnation string
 	alive             bool
-	leaving           bool
+	draining          bool
 	pausedUntil       time.Time
-	disturbed         bool // was ever paused
+	wasPaused         bool // at any time
 	timerAt           time.Time
 }
 
@@ -24,7 +24,7 @@
 	process
 	core  *entry.Entry
 	links map[string]*connection // by agent name
-	// view is the membership as this process last read it: name to incarnation.
+	// view is the membership as this process last read it, incarnation to name.
 	view map[string]string
 }
 
@@ -36,22 +36,22 @@
 	ended   map[agent.TaskRef]bool
 }
 
-// connection is one link; frames of each direction stay in order.
+// connection is one link. Frames of each direction stay in order.
 type connection struct {
 	epoch            uint64
 	entry            *entryProcess
 	agent            *agentProcess
 	toAgent, toEntry time.Time // last arrival
-	// A silent direction swallows frames; a broken one is reported to both ends.
-	silentToAgent, silentToEntry, broken bool
-	open                                 bool // the agent's first frame has arrived
+	// A blackholed direction drops all frames without notice; broken means that the
+	// link is closed, of which both ends are notified.
+	blackholeToAgent, blackholeToEntry, broken bool
+	open                                       bool // the agent's first frame has arrived
 }
 
-// openTimeout is how long the driver waits for a link to open.
+// openTimeout is how long the driver waits for a link to be established.
 const openTimeout = 200 * time.Millisecond
 
-// run executes f in the process when it is up: later if it is paused, never if
-// it has ended.
+// run executes f in the process: later if the process is paused, never if it has ended.
 func (w *World) run(p *process, f func()) {
 	if !p.alive {
 		return
@@ -93,7 +93,7 @@
 
 func (w *World) startEntry(i int) {
 	p := &entryProcess{links: make(map[string]*connection)}
-	p.name, p.alive, p.incarnation = fmt.Sprintf("e%d", i), true, w.incarnation()
+	p.name, p.alive, p.incarnation = fmt.Sprintf("e%d", i), true, w.newIncarnation()
 	p.core = entry.New(entry.Options{
 		Hello: &pb.EntryHello{Entry: p.name, Incarnation: p.incarnation}, Started: w.now, Link: linkOptions,
 		Contract:  func(string) *pb.Contract { return w.contract },
@@ -104,7 +104,7 @@
 	w.byIncarnation[p.incarnation] = p
 	w.members[p.name] = p.incarnation
 	w.readMembers(p)
-	w.tracef("%s starts as %s", p.name, short(p.incarnation))
+	w.tracef("%s starts as %s", p.name, shortIncarnation(p.incarnation))
 }
 
 func (w *World) startAgent(i int) {
@@ -112,20 +112,20 @@
 		links:   make(map[string]*connection),
 		stopped: make(map[agent.TaskRef]bool), ended: make(map[agent.TaskRef]bool),
 	}
-	p.name, p.alive, p.incarnation = fmt.Sprintf("a%d", i), true, w.incarnation()
+	p.name, p.alive, p.incarnation = fmt.Sprintf("a%d", i), true, w.newIncarnation()
 	p.core = agent.New(agent.Options{
 		Hello: &pb.AgentHello{Agent: p.name, Incarnation: p.incarnation, Slots: 3}, Link: linkOptions,
 		MaxRecords: w.profile.maxRecords(), MaxFences: w.profile.maxFences(), FenceTTL: 30 * time.Second,
 		PeerLostAfter: peerLostAfter,
 	})
 	w.agents[i] = p
-	w.tracef("%s starts as %s", p.name, short(p.incarnation))
-	// It may take a while until a new process knows whom to tell.
-	w.after(w.between(0, 400), func() { w.announce(p) })
+	w.tracef("%s starts as %s", p.name, shortIncarnation(p.incarnation))
+	// A new process may need some time to discover the entries.
+	w.after(w.randomDuration(0, 400), func() { w.announce(p) })
 }
 
-// announce makes an agent known to the entries without a link to it, for as
-// long as it lives.
+// announce repeatedly announces an agent to the entries without a link to it, until the
+// agent ends.
 func (w *World) announce(a *agentProcess) {
 	w.run(&a.process, func() {
 		for _, e := range w.entries {
@@ -135,25 +135,25 @@
 		}
 	})
 	if a.alive {
-		w.after(w.between(100, 300), func() { w.announce(a) })
+		w.after(w.randomDuration(100, 300), func() { w.announce(a) })
 	}
 }
 
 func (w *World) sendAnnounce(a *agentProcess, e *entryProcess, relink bool) {
-	if w.cut(a.name, e.name) {
+	if w.partitioned(a.name, e.name) {
 		return
 	}
 	hello := &pb.AgentHello{Agent: a.name, Incarnation: a.incarnation, Slots: 3}
-	leaving := a.leaving
-	w.after(w.delay(), func() {
+	draining := a.draining
+	w.after(w.randomDelay(), func() {
 		w.run(&e.process, func() {
-			e.core.AgentSeen(w.now, hello, relink, leaving)
+			e.core.AgentSeen(w.now, hello, relink, draining)
 			w.pumpEntry(e)
 		})
 	})
 }
 
-// pumpEntry carries out what an entry has decided.
+// pumpEntry executes the actions that an entry's state machine has ready.
 func (w *World) pumpEntry(e *entryProcess) {
 	ready := e.core.Ready(w.now)
 	for _, d := range ready.Dials {
@@ -170,11 +170,11 @@
 	w.setTimer(&e.process, e.core.Next(), func() { e.core.Tick(w.now); w.pumpEntry(e) })
 }
 
-// pumpAgent carries out what an agent has decided.
+// pumpAgent executes the actions that an agent's state machine has ready.
 func (w *World) pumpAgent(a *agentProcess) {
 	ready := a.core.Ready(w.now)
 	for _, r := range ready.Run {
-		w.endpointRun(a, r)
+		w.endpointStart(a, r)
 	}
 	for _, ref := range ready.Stop {
 		w.endpointStop(a, ref)
@@ -193,13 +193,13 @@
 	w.setTimer(&a.process, a.core.Next(), func() { a.core.Tick(w.now); w.pumpAgent(a) })
 }
 
-// dial opens a link as the drivers do: the entry's hello reaches whatever process
-// runs under the agent's name, and the agent's first frame completes it.
+// dial opens a link as the drivers do: the entry's hello reaches whichever process runs
+// under the agent's name, and the agent's first frame completes the handshake.
 func (w *World) dial(e *entryProcess, d entry.Dial) {
 	c := &connection{epoch: d.Hello.Epoch, entry: e}
 	e.links[d.Agent] = c
 	fail := func(refused bool) {
-		w.after(w.delay(), func() {
+		w.after(w.randomDelay(), func() {
 			w.run(&e.process, func() { e.core.LinkDown(w.now, d.Agent, c.epoch, refused); w.pumpEntry(e) })
 		})
 	}
@@ -208,9 +208,9 @@
 			w.breakLink(c)
 		}
 	})
-	w.after(w.delay(), func() {
+	w.after(w.randomDelay(), func() {
 		a := w.agentNamed(d.Agent)
-		if !a.alive || w.cut(a.name, e.name) || w.chance(w.profile.loss) {
+		if !a.alive || w.partitioned(a.name, e.name) || w.chance(w.profile.loss) {
 			w.after(100*time.Millisecond, func() { fail(false) })
 			return
 		}
@@ -228,7 +228,7 @@
 
 func (w *World) sendToAgent(c *connection, f *pb.EntryFrame) {
 	w.checkFrame(c, f)
-	if c.agent == nil || c.silentToAgent || w.chance(w.profile.loss) {
+	if c.agent == nil || c.blackholeToAgent || w.chance(w.profile.loss) {
 		return
 	}
 	w.deliver(&c.toAgent, func() {
@@ -240,8 +240,8 @@
 }
 
 func (w *World) sendToEntry(c *connection, f *pb.AgentFrame) {
-	w.noteFences(c.agent, f)
-	if c.silentToEntry || w.chance(w.profile.loss) {
+	w.recordFences(c.agent, f)
+	if c.blackholeToEntry || w.chance(w.profile.loss) {
 		return
 	}
 	first := f.Hello != nil
@@ -258,33 +258,34 @@
 	})
 }
 
-// deliver keeps a direction in order, and now and then delivers twice or late.
+// deliver delivers a frame after a delay, in order within its direction, and sometimes
+// a second time later.
 func (w *World) deliver(last *time.Time, arrive func()) {
-	at := w.now.Add(w.delay())
+	at := w.now.Add(w.randomDelay())
 	if at.Before(*last) {
 		at = *last
 	}
 	*last = at
 	w.at(at, arrive)
 	if w.chance(w.profile.duplicate) {
-		w.at(at.Add(w.between(0, 400)), arrive)
+		w.at(at.Add(w.randomDuration(0, 400)), arrive)
 	}
 }
 
-// breakLink ends a connection; both ends learn of it.
+// breakLink closes a connection and notifies both ends.
 func (w *World) breakLink(c *connection) {
 	if c.broken {
 		return
 	}
-	c.broken, c.silentToAgent, c.silentToEntry = true, true, true
-	w.after(w.delay(), func() {
+	c.broken, c.blackholeToAgent, c.blackholeToEntry = true, true, true
+	w.after(w.randomDelay(), func() {
 		w.run(&c.entry.process, func() {
 			name := c.agent.name
 			c.entry.core.LinkDown(w.now, name, c.epoch, false)
 			w.pumpEntry(c.entry)
 		})
 	})
-	w.after(w.delay(), func() {
+	w.after(w.randomDelay(), func() {
 		w.run(&c.agent.process, func() {
 			c.agent.core.LinkDown(w.now, c.entry.incarnation, c.epoch)
 			w.pumpAgent(c.agent)
--- a/dispatch/modelcheck/profile.go
+++ b/dispatch/modelcheck/profile.go
@@ -2,79 +2,81 @@
 
 import "time"
 
-// Profile says which faults a schedule may show.
+// Profile defines the faults that a schedule may contain.
 type Profile struct {
 	Name string
-	// Chances per frame.
+	// Probabilities per frame.
 	loss, duplicate, slow float64
-	// Faults per schedule, at most.
-	silent, breaks, cuts, pauses, agentCrashes, entryCrashes, leaves, outages int
-	// small tables, and pauses that outlast the peers' patience.
-	small, long bool
+	// Maximum number of faults of each kind per schedule.
+	blackholes, breaks, partitions, pauses, agentCrashes, entryCrashes, drains, outages int
+	// smallTables sets low limits on records, fences and jobs; longPauses makes pauses
+	// longer than the peers' timeouts.
+	smallTables, longPauses bool
 }
 
 var profiles = []Profile{
 	{Name: "none"},
-	{Name: "silent links", silent: 6, breaks: 3, slow: 0.05},
+	{Name: "silent links", blackholes: 6, breaks: 3, slow: 0.05},
 	{Name: "loss and duplication", loss: 0.02, duplicate: 0.05, slow: 0.1, breaks: 2},
-	{Name: "cut between processes", cuts: 3, slow: 0.05},
-	{Name: "agent crash", agentCrashes: 2, silent: 1},
-	{Name: "entry crash", entryCrashes: 2, silent: 1},
-	{Name: "pause", pauses: 4, silent: 1},
-	{Name: "planned stop", leaves: 2, silent: 1, slow: 0.05},
+	{Name: "cut between processes", partitions: 3, slow: 0.05},
+	{Name: "agent crash", agentCrashes: 2, blackholes: 1},
+	{Name: "entry crash", entryCrashes: 2, blackholes: 1},
+	{Name: "pause", pauses: 4, blackholes: 1},
+	{Name: "planned stop", drains: 2, blackholes: 1, slow: 0.05},
 	{Name: "store outage and entry crash", outages: 1, entryCrashes: 2},
-	{Name: "full tables", small: true, silent: 2, entryCrashes: 1, pauses: 2, cuts: 1},
-	{Name: "full tables and long pauses", small: true, long: true, pauses: 3},
-	{Name: "all", loss: 0.005, duplicate: 0.02, slow: 0.05, silent: 3, breaks: 2, cuts: 1, pauses: 2,
-		agentCrashes: 1, entryCrashes: 1, leaves: 1, outages: 1},
+	{Name: "full tables", smallTables: true, blackholes: 2, entryCrashes: 1, pauses: 2, partitions: 1},
+	{Name: "full tables and long pauses", smallTables: true, longPauses: true, pauses: 3},
+	{Name: "all", loss: 0.005, duplicate: 0.02, slow: 0.05, blackholes: 3, breaks: 2, partitions: 1, pauses: 2,
+		agentCrashes: 1, entryCrashes: 1, drains: 1, outages: 1},
 }
 
 func (p Profile) maxRecords() int {
-	if p.small {
+	if p.smallTables {
 		return 4
 	}
 	return 0
 }
 
 func (p Profile) maxFences() int {
-	if p.small {
+	if p.smallTables {
 		return 2
 	}
 	return 0
 }
 
 func (p Profile) maxJobs() int {
-	if p.small {
+	if p.smallTables {
 		return 6
 	}
 	return 0
 }
 
-// onlyLinks reports whether every process stays reachable until it has drained,
+// linkFaultsOnly reports whether every process stays reachable until it has drained,
 // so that each job with enough time must complete.
-func (p Profile) onlyLinks() bool {
-	return p.cuts+p.pauses+p.agentCrashes+p.entryCrashes == 0 && !p.small
+func (p Profile) linkFaultsOnly() bool {
+	return p.partitions+p.pauses+p.agentCrashes+p.entryCrashes == 0 && !p.smallTables
 }
 
 func (w *World) scheduleFaults() {
 	p := w.profile
-	w.some(p.silent, w.silenceLink)
-	w.some(p.breaks, func() {
-		if c := w.anyLink(); c != nil {
-			w.tracef("link %s-%s breaks", c.entry.name, c.agent.name)
+	w.scheduleUpTo(p.blackholes, w.blackholeLink)
+	w.scheduleUpTo(p.breaks, func() {
+		if c := w.randomLink(); c != nil {
+			w.tracef("link %s-%s disconnects", c.entry.name, c.agent.name)
 			w.breakLink(c)
 		}
 	})
-	w.some(p.cuts, w.cutPair)
-	w.some(p.pauses, w.pauseOne)
-	w.some(p.agentCrashes, w.crashAgent)
-	w.some(p.entryCrashes, w.crashEntry)
-	w.some(p.leaves, w.leaveOne)
-	w.some(p.outages, w.storeOutage)
+	w.scheduleUpTo(p.partitions, w.partitionPair)
+	w.scheduleUpTo(p.pauses, w.pauseProcess)
+	w.scheduleUpTo(p.agentCrashes, w.crashAgent)
+	w.scheduleUpTo(p.entryCrashes, w.crashEntry)
+	w.scheduleUpTo(p.drains, w.drainProcess)
+	w.scheduleUpTo(p.outages, w.storeOutage)
 }
 
-// some schedules up to n of a fault, each at a random time.
-func (w *World) some(n int, fault func()) {
+// scheduleUpTo schedules a fault one to n times, each at a random time, or not at all if n
+// is zero.
+func (w *World) scheduleUpTo(n int, fault func()) {
 	if n == 0 {
 		return
 	}
@@ -83,7 +85,7 @@
 	}
 }
 
-func (w *World) anyLink() *connection {
+func (w *World) randomLink() *connection {
 	e := w.entries[w.rng.IntN(numEntries)]
 	a := w.agents[w.rng.IntN(numAgents)]
 	if c := e.links[a.name]; c != nil && c.agent != nil && !c.broken {
@@ -92,54 +94,54 @@
 	return nil
 }
 
-// silenceLink makes one or both directions swallow frames for good.
-func (w *World) silenceLink() {
-	c := w.anyLink()
+// blackholeLink makes one or both directions of a link drop all further frames.
+func (w *World) blackholeLink() {
+	c := w.randomLink()
 	if c == nil {
 		return
 	}
-	way := w.rng.IntN(3)
-	c.silentToAgent = c.silentToAgent || way != 0
-	c.silentToEntry = c.silentToEntry || way != 1
-	w.tracef("link %s-%s goes silent, way %d", c.entry.name, c.agent.name, way)
+	direction := w.rng.IntN(3)
+	c.blackholeToAgent = c.blackholeToAgent || direction != 0
+	c.blackholeToEntry = c.blackholeToEntry || direction != 1
+	w.tracef("link %s-%s drops all frames, direction %d", c.entry.name, c.agent.name, direction)
 }
 
-// cutPair keeps two processes from reaching each other for a while.
-func (w *World) cutPair() {
+// partitionPair prevents two processes from communicating for a while.
+func (w *World) partitionPair() {
 	e := w.entries[w.rng.IntN(numEntries)]
 	other := w.agents[w.rng.IntN(numAgents)].name
 	if w.chance(0.4) {
 		other = w.entries[w.rng.IntN(numEntries)].name
 	}
 	key := e.name + other
-	w.cuts[key] = true
-	w.tracef("%s and %s are cut off", e.name, other)
+	w.partitions[key] = true
+	w.tracef("%s and %s are partitioned", e.name, other)
 	for _, c := range e.links {
 		if c.agent != nil && c.agent.name == other {
-			c.silentToAgent, c.silentToEntry = true, true
+			c.blackholeToAgent, c.blackholeToEntry = true, true
 		}
 	}
-	w.after(w.between(100, 2500), func() {
-		delete(w.cuts, key)
+	w.after(w.randomDuration(100, 2500), func() {
+		delete(w.partitions, key)
 		w.tracef("%s and %s reach each other again", e.name, other)
 	})
 }
 
-func (w *World) pauseOne() {
-	p := w.anyProcess()
+func (w *World) pauseProcess() {
+	p := w.randomProcess()
 	if !p.alive {
 		return
 	}
-	pause := w.between(50, 2500)
-	if w.profile.long {
-		pause = w.between(1500, 3000)
+	pause := w.randomDuration(50, 2500)
+	if w.profile.longPauses {
+		pause = w.randomDuration(1500, 3000)
 	}
 	p.pausedUntil = w.now.Add(pause)
-	p.disturbed = true
+	p.wasPaused = true
 	w.tracef("%s pauses until %v", p.name, p.pausedUntil.Sub(w.now))
 }
 
-func (w *World) anyProcess() *process {
+func (w *World) randomProcess() *process {
 	if w.chance(0.5) {
 		return &w.entries[w.rng.IntN(numEntries)].process
 	}
@@ -160,7 +162,7 @@
 			w.breakLink(c)
 		}
 	}
-	w.after(w.between(5, 1000), func() { w.startAgent(i) })
+	w.after(w.randomDuration(5, 1000), func() { w.startAgent(i) })
 }
 
 func (w *World) crashEntry() { w.endEntry(w.rng.IntN(numEntries), "crashes") }
@@ -177,13 +179,13 @@
 			w.breakLink(c)
 		}
 	}
-	lapse := w.between(300, 600)
-	w.after(lapse, func() {
+	leaseLapse := w.randomDuration(300, 600)
+	w.after(leaseLapse, func() {
 		if w.members[e.name] == e.incarnation {
 			delete(w.members, e.name)
 		}
 	})
-	w.after(w.between(50, 1500), func() { w.startEntry(i) })
+	w.after(w.randomDuration(50, 1500), func() { w.startEntry(i) })
 }
 
 func (w *World) agentNames() []string {
@@ -194,28 +196,29 @@
 	return names
 }
 
-// leaveOne stops a process as planned; it ends when it has drained.
-func (w *World) leaveOne() {
+// drainProcess starts the planned stop of a process, which ends when it has drained.
+func (w *World) drainProcess() {
 	if w.chance(0.5) {
 		i := w.rng.IntN(numEntries)
-		w.leaveEntry(i, w.entries[i])
+		w.drainEntry(i, w.entries[i])
 		return
 	}
 	i := w.rng.IntN(numAgents)
-	w.leaveAgent(i, w.agents[i])
+	w.drainAgent(i, w.agents[i])
 }
 
-// drainBound is the longest that a drain may take: the longest job and a new link.
-const drainBound = 4 * time.Second
+// maxDrain is the longest time that a drain may take: that of the longest job and of
+// establishing a new link.
+const maxDrain = 4 * time.Second
 
-func (w *World) leaveEntry(i int, e *entryProcess) {
-	if !e.alive || e.leaving {
+func (w *World) drainEntry(i int, e *entryProcess) {
+	if !e.alive || e.draining {
 		return
 	}
-	e.leaving = true
-	w.tracef("%s leaves", e.name)
+	e.draining = true
+	w.tracef("%s starts to drain", e.name)
 	w.run(&e.process, func() { e.core.Leave(w.now); w.pumpEntry(e) })
-	limit := w.now.Add(drainBound)
+	deadline := w.now.Add(maxDrain)
 	var poll func()
 	poll = func() {
 		if !e.alive {
@@ -224,11 +227,11 @@
 		if e.core.Drained() && !w.now.Before(e.pausedUntil) {
 			e.core.End(w.now)
 			w.pumpEntry(e)
-			w.endEntry(i, "has drained and ends")
+			w.endEntry(i, "ends after its drain")
 			return
 		}
-		if w.now.After(limit) && !e.disturbed {
-			w.violation("%s has not drained after %v", e.name, drainBound)
+		if w.now.After(deadline) && !e.wasPaused {
+			w.violation("%s has not drained after %v", e.name, maxDrain)
 			return
 		}
 		w.after(20*time.Millisecond, poll)
@@ -236,25 +239,25 @@
 	poll()
 }
 
-func (w *World) leaveAgent(i int, a *agentProcess) {
-	if !a.alive || a.leaving {
+func (w *World) drainAgent(i int, a *agentProcess) {
+	if !a.alive || a.draining {
 		return
 	}
-	a.leaving = true
-	w.tracef("%s leaves", a.name)
+	a.draining = true
+	w.tracef("%s starts to drain", a.name)
 	w.run(&a.process, func() { a.core.Leave(w.now); w.pumpAgent(a) })
-	limit := w.now.Add(drainBound)
+	deadline := w.now.Add(maxDrain)
 	var poll func()
 	poll = func() {
 		if !a.alive {
 			return
 		}
 		if a.core.Drained() {
-			w.endAgent(i, "has drained and ends")
+			w.endAgent(i, "ends after its drain")
 			return
 		}
-		if w.now.After(limit) && !a.disturbed {
-			w.violation("%s has not drained after %v", a.name, drainBound)
+		if w.now.After(deadline) && !a.wasPaused {
+			w.violation("%s has not drained after %v", a.name, maxDrain)
 			return
 		}
 		w.after(20*time.Millisecond, poll)
@@ -264,6 +267,6 @@
 
 func (w *World) storeOutage() {
 	w.storeDown = true
-	w.tracef("store down")
-	w.after(w.between(500, 3000), func() { w.storeDown = false; w.tracef("store up") })
+	w.tracef("store becomes unavailable")
+	w.after(w.randomDuration(500, 3000), func() { w.storeDown = false; w.tracef("store becomes available") })
 }
--- a/dispatch/modelcheck/world.go
+++ b/dispatch/modelcheck/world.go
@@ -12,12 +12,13 @@
 const (
 	numEntries = 3
 	numAgents  = 3
-	// faultsEnd leaves time to settle, so that drains and deadlines can be checked.
+	// faultsEnd leaves time until scheduleEnd in which drains finish and deadlines pass,
+	// so that both can be checked.
 	faultsEnd   = 4 * time.Second
 	scheduleEnd = 12 * time.Second
 )
 
-// World is one schedule.
+// World is the state of one schedule.
 type World struct {
 	clock
 	rng      *rand.Rand
@@ -29,32 +30,33 @@
 	byIncarnation map[string]*entryProcess
 	incarnations  int
 
-	members   map[string]string // the store's list: name to incarnation
-	storeDown bool
-	cuts      map[string]bool // pairs of names that can't exchange anything new
+	members    map[string]string // the store's list, name to incarnation
+	storeDown  bool
+	partitions map[string]bool // pairs of names that can't exchange new messages
 
-	jobs   map[string]*jobTruth // by contract and id
-	order  []*jobTruth
-	report *Report
-	trace  bool
+	jobs        map[string]*jobTruth // by contract and id
+	jobsInOrder []*jobTruth
+	report      *Report
+	trace       bool
 }
 
-// Report is what one schedule showed.
+// Report is the result of one schedule.
 type Report struct {
 	Seed       uint64
 	Profile    string
 	Violations []string
 	Trace      []string
-	// Jobs counts the distinct jobs; Answers the first answers by outcome.
+	// Jobs is the number of distinct jobs, Answers that of the first answers by outcome.
 	Jobs    int
 	Answers map[pb.Outcome]int
-	// UnknownNeeded counts answers "outcome unknown" that nobody could have
-	// bettered; UnknownAvoidable the others.
-	UnknownNeeded, UnknownAvoidable int
-	Starts                          int
+	// UnknownUnavoidable counts the answers "outcome unknown" for which no reachable
+	// process knew the outcome, UnknownAvoidable the others.
+	UnknownUnavoidable, UnknownAvoidable int
+	Starts                               int
 }
 
-// Check runs the schedule of the seed.
+// Check runs the schedule of a seed until its end or the first violation. A panic of the
+// code under test is reported as a violation. With trace set the report has a trace.
 func Check(seed uint64, trace bool) (report *Report) {
 	w := &World{
 		rng:     rand.New(rand.NewPCG(seed, 1)),
@@ -65,7 +67,7 @@
 		},
 		byIncarnation: make(map[string]*entryProcess),
 		members:       make(map[string]string),
-		cuts:          make(map[string]bool),
+		partitions:    make(map[string]bool),
 		jobs:          make(map[string]*jobTruth),
 		trace:         trace,
 	}
@@ -85,7 +87,7 @@
 	for i := range w.agents {
 		w.startAgent(i)
 	}
-	w.readMembersOften()
+	w.refreshMembers()
 	w.scheduleFaults()
 	w.scheduleCallers()
 	end := w.now.Add(scheduleEnd)
@@ -110,24 +112,26 @@
 
 func (w *World) chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-func (w *World) between(lo, hi int) time.Duration {
+// randomDuration returns a random duration from lo up to, but not including, hi, both in
+// milliseconds.
+func (w *World) randomDuration(lo, hi int) time.Duration {
 	return time.Duration(lo+w.rng.IntN(hi-lo)) * time.Millisecond
 }
 
-func (w *World) delay() time.Duration {
+func (w *World) randomDelay() time.Duration {
 	d := time.Duration(200+w.rng.IntN(1500)) * time.Microsecond
 	if w.chance(w.profile.slow) {
-		d += w.between(5, 90)
+		d += w.randomDuration(5, 90)
 	}
 	return d
 }
 
-func (w *World) incarnation() string {
+func (w *World) newIncarnation() string {
 	w.incarnations++
 	return fmt.Sprintf("%032x", w.incarnations)
 }
 
-func short(incarnation string) string { return strings.TrimLeft(incarnation, "0") }
+func shortIncarnation(incarnation string) string { return strings.TrimLeft(incarnation, "0") }
 
 func (w *World) agentNamed(name string) *agentProcess {
 	for _, a := range w.agents {
@@ -147,9 +151,9 @@
 	return nil
 }
 
-func (w *World) cut(a, b string) bool { return w.cuts[a+b] || w.cuts[b+a] }
+func (w *World) partitioned(a, b string) bool { return w.partitions[a+b] || w.partitions[b+a] }
 
-// readMembers refreshes an entry's view of the others; not in a store outage.
+// readMembers refreshes an entry's view of the others, except during a store outage.
 func (w *World) readMembers(e *entryProcess) {
 	if w.storeDown {
 		return
@@ -160,9 +164,9 @@
 	}
 }
 
-func (w *World) readMembersOften() {
+func (w *World) refreshMembers() {
 	for _, e := range w.entries {
 		w.run(&e.process, func() { w.readMembers(e) })
 	}
-	w.after(w.between(100, 300), w.readMembersOften)
+	w.after(w.randomDuration(100, 300), w.refreshMembers)
 }
