--- a/dispatch/dispatcher/crash.go
+++ b/dispatch/dispatcher/crash.go
@@ -9,51 +9,51 @@
 )
 
 // A task may crash every worker that starts it. A crash at its start makes a task suspected:
-// its next run goes to a worker with little else on it, and this entry sends nothing more
-// there until the run has outlasted the moment at which it would crash the worker. Runs that
-// had gone on for a while when their worker crashed are more likely bystanders, and so are
-// those that have always begun beside others.
+// its next run goes to a lightly loaded worker, and this entry places nothing else there until
+// the run has outlasted the moment at which it would crash the worker. Runs that had lasted for
+// a while when their worker crashed are more likely bystanders, and so are those that always
+// began beside others.
 const (
-	// startCrashes is how many workers that crash at the start of a task condemn it, if it was
-	// the only one to begin at one of them: after the first crash its runs are kept apart, so
-	// the next one is hardly a coincidence.
-	startCrashes = 2
-	// anyCrashes is the same for crashes at any time.
-	anyCrashes = 3
-	// trialFor is how long after a suspected task was ordered it would have crashed its
-	// worker, and the agent have told of it.
-	trialFor = 150 * time.Millisecond
-	// crowdCost is by how much later a suspected task is taken to start on a worker that is
-	// full than on an idle one.
-	crowdCost = time.Second
-	// sharedBy workers that crash within sharedWithin are taken to do so for a cause that they
-	// share, like the loss of a rack's power.
-	sharedBy     = 3
-	sharedWithin = 100 * time.Millisecond
-	// rememberCrashes is how long a crash counts: callers send a job again within seconds.
-	rememberCrashes = time.Minute
-	// maxCrashedTasks bounds the tasks remembered, a hundred bytes each.
+	// poisonStartCrashes is how many workers must crash at the start of a task to make it a
+	// poison task, if it was the only one to begin at one of them. After the first crash its
+	// runs are isolated, so the next crash is hardly a coincidence.
+	poisonStartCrashes = 2
+	// poisonCrashes is the same for crashes at any time.
+	poisonCrashes = 3
+	// trialPeriod is the time after the order of a suspected task in which it would have
+	// crashed its worker and the agent have reported that.
+	trialPeriod = 150 * time.Millisecond
+	// busyWorkerPenalty is the delay added to the expected start of a suspected task on a
+	// full worker, compared with an idle one.
+	busyWorkerPenalty = time.Second
+	// A crash of at least sharedCauseWorkers workers within sharedCauseWindow is attributed
+	// to a shared cause, like the loss of a rack's power.
+	sharedCauseWorkers = 3
+	sharedCauseWindow  = 100 * time.Millisecond
+	// crashRetention is how long a crash counts: callers retry a job within seconds.
+	crashRetention = time.Minute
+	// maxCrashedTasks bounds the recorded tasks, at a hundred bytes each.
 	maxCrashedTasks = 4096
 )
 
 // crashRecord is the evidence against a task.
 type crashRecord struct {
 	task    string
-	seen    time.Time // when the first crash was heard of
+	seen    time.Time // when the first crash was reported
 	crashes []workerCrash
 }
 
 type workerCrash struct {
-	worker  string // the life that ended
+	worker  string // incarnation that crashed
 	at      time.Time
 	atStart bool
 	alone   bool
-	// shared: other workers crashed with it, so the task is not the likely cause.
+	// shared: other workers crashed with it, so the task isn't the likely cause.
 	shared bool
 }
 
-// count is how many crashes are evidence against the task, how many of them were at its
-// start, and at how many of these no other task began.
+// count returns how many crashes are evidence against the task, how many of them occurred
+// at its start, and how many of those while no other task began.
 func (r *crashRecord) count() (all, atStart, alone int) {
 	if r == nil {
 		return 0, 0, 0
@@ -73,21 +73,21 @@
 	return all, atStart, alone
 }
 
-func (r *crashRecord) condemned() bool {
+func (r *crashRecord) isPoison() bool {
 	all, atStart, alone := r.count()
-	return atStart >= startCrashes && alone > 0 || all >= anyCrashes
+	return atStart >= poisonStartCrashes && alone > 0 || all >= poisonCrashes
 }
 
-// crashes remembers the tasks under which workers have crashed, oldest first.
+// crashes records the tasks under which workers have crashed, oldest first.
 type crashes struct {
 	byTask map[string]*crashRecord
 	order  []*crashRecord
-	lately []workerCrash // one for each life
+	recent []workerCrash // one per incarnation
 }
 
-// take takes in one crash. An agent tells it to each entry, and again on each new link.
-func (c *crashes) take(now time.Time, m *pb.TaskCrash) (taken bool) {
-	c.forget(now)
+// record adds one crash. An agent reports it to each entry, and again on each new link.
+func (c *crashes) record(now time.Time, m *pb.TaskCrash) (added bool) {
+	c.expire(now)
 	r := c.byTask[m.Task]
 	if r == nil {
 		r = &crashRecord{task: m.Task, seen: now}
@@ -97,24 +97,24 @@
 		c.byTask[m.Task] = r
 		c.order = append(c.order, r)
 	}
-	ofWorker := func(w workerCrash) bool { return w.worker == m.Worker }
-	if slices.ContainsFunc(r.crashes, ofWorker) {
+	sameWorker := func(w workerCrash) bool { return w.worker == m.Worker }
+	if slices.ContainsFunc(r.crashes, sameWorker) {
 		return false
 	}
 	w := workerCrash{worker: m.Worker, at: now, atStart: m.AtStart, alone: m.Alone}
 	r.crashes = append(r.crashes, w)
-	c.lately = slices.DeleteFunc(c.lately, func(x workerCrash) bool { return now.Sub(x.at) > sharedWithin })
-	if !slices.ContainsFunc(c.lately, ofWorker) {
-		c.lately = append(c.lately, w)
+	c.recent = slices.DeleteFunc(c.recent, func(x workerCrash) bool { return now.Sub(x.at) > sharedCauseWindow })
+	if !slices.ContainsFunc(c.recent, sameWorker) {
+		c.recent = append(c.recent, w)
 	}
-	c.share(now)
+	c.markShared(now)
 	return true
 }
 
-// share takes the crashes of the last moment to have one cause when there are several that
-// no task explains: one that several workers crashed under does.
-func (c *crashes) share(now time.Time) {
-	if len(c.lately) < sharedBy {
+// markShared attributes the recent crashes to a shared cause when several of them are not
+// explained by a task under which more than one worker crashed.
+func (c *crashes) markShared(now time.Time) {
+	if len(c.recent) < sharedCauseWorkers {
 		return
 	}
 	explained := map[string]bool{}
@@ -124,45 +124,45 @@
 		}
 	}
 	unexplained := 0
-	for _, x := range c.lately {
+	for _, x := range c.recent {
 		if !explained[x.worker] {
 			unexplained++
 		}
 	}
-	if unexplained < sharedBy {
+	if unexplained < sharedCauseWorkers {
 		return
 	}
 	for _, r := range c.order {
-		if x := &r.crashes[0]; len(r.crashes) == 1 && now.Sub(x.at) <= sharedWithin {
+		if x := &r.crashes[0]; len(r.crashes) == 1 && now.Sub(x.at) <= sharedCauseWindow {
 			x.shared = true
 		}
 	}
 }
 
-func (c *crashes) forget(now time.Time) {
-	for len(c.order) > 0 && (len(c.order) > maxCrashedTasks || now.Sub(c.order[0].seen) > rememberCrashes) {
+func (c *crashes) expire(now time.Time) {
+	for len(c.order) > 0 && (len(c.order) > maxCrashedTasks || now.Sub(c.order[0].seen) > crashRetention) {
 		delete(c.byTask, c.order[0].task)
 		c.order = c.order[1:]
 	}
 }
 
-func (c *crashes) of(t *task) *crashRecord {
+func (c *crashes) forTask(t *task) *crashRecord {
 	if len(c.byTask) == 0 {
-		return nil // spares the name
+		return nil // avoids building the name
 	}
 	return c.byTask[t.name()]
 }
 
 // suspected reports whether a worker crashed at the start of the task.
 func (d *Dispatcher) suspected(t *task) bool {
-	_, atStart, _ := d.crashes.of(t).count()
+	_, atStart, _ := d.crashes.forTask(t).count()
 	return atStart > 0
 }
 
-// takeCrashes takes in under which tasks an agent's worker has crashed.
-func (d *Dispatcher) takeCrashes(now time.Time, a *agent, told []*pb.TaskCrash) {
-	for _, m := range told {
-		if !d.crashes.take(now, m) {
+// applyCrashes records under which tasks an agent's worker has crashed.
+func (d *Dispatcher) applyCrashes(now time.Time, a *agent, reported []*pb.TaskCrash) {
+	for _, m := range reported {
+		if !d.crashes.record(now, m) {
 			continue
 		}
 		outcome := "while it ran"
@@ -174,19 +174,19 @@
 	}
 }
 
-// refuseCondemned says why a job can't be completed by what its tasks have done to workers
-// already, at this entry or another; nil: it may be.
-func (d *Dispatcher) refuseCondemned(j *job) *Answer {
+// refusePoison refuses a job with a task that has already crashed workers, at this entry or
+// another; nil: it has none.
+func (d *Dispatcher) refusePoison(j *job) *Answer {
 	for _, t := range j.waiting {
-		if d.crashes.of(t).condemned() {
+		if d.crashes.forTask(t).isPoison() {
 			return &Answer{Outcome: Failed, Reason: ReasonCrashes, Permanent: true}
 		}
 	}
 	return nil
 }
 
-// afterLoss decides on a task whose run has ended without a result.
-func (d *Dispatcher) afterLoss(now time.Time, t *task, at *agent, reason string) {
+// handleLoss decides on a task whose run has ended without a result.
+func (d *Dispatcher) handleLoss(now time.Time, t *task, at *agent, reason string) {
 	if reason != runner.ReasonCrashed && reason != runner.ReasonCrashedLater {
 		d.requeue(t.job, t)
 		return
@@ -194,7 +194,7 @@
 	if t.job.ended {
 		return
 	}
-	if d.crashes.of(t).condemned() {
+	if d.crashes.forTask(t).isPoison() {
 		d.answer(now, t.job, Answer{Outcome: Failed, Reason: ReasonCrashes, Permanent: true})
 		return
 	}
--- a/dispatch/dispatcher/dispatcher.go
+++ b/dispatch/dispatcher/dispatcher.go
@@ -22,30 +22,30 @@
 	Entry, Incarnation, FailureDomain string
 
 	Times bounds.Times
-	// Link are the times of links to agents.
+	// Link holds the timing options of links to agents.
 	Link link.Options
-	// DomainRoundTrip is the round trip to an agent in another failure domain,
-	// beyond the one to an agent in the entry's own.
+	// DomainRoundTrip is the extra round-trip time to an agent in another failure
+	// domain, compared with one in the entry's own.
 	DomainRoundTrip time.Duration
 	// RemoteFactor is how many times longer a task takes away from its data's rack.
 	RemoteFactor float64
-	// ReportsPerSecond is how many reports of agents' load the entry takes in for
-	// its processor's sake, beside those that come with news of its own orders.
+	// ReportsPerSecond limits the load reports that the entry requests from agents,
+	// to bound their CPU cost. Reports sent with order updates aren't counted.
 	ReportsPerSecond float64
-	// Random gives numbers in [0, 1), for jitter; nil: none.
+	// Random returns numbers in [0, 1), for jitter; nil: no jitter.
 	Random func() float64
 	Health health.Options
-	// Without are mechanisms that are switched off, to measure what they are worth.
+	// Without is the set of disabled features, to measure what each is worth.
 	Without without.Set
-	// Events takes what happens, for the time line; nil: none.
+	// Events records events for the time line; nil: no recording.
 	Events *event.Ring
-	// Decided is told of each decision, for the log; nil: nobody.
+	// Decided is called with each decision, for the log; nil: no logging.
 	Decided func(Decision)
 }
 
 // Defaults of Options.
 const (
-	// DefaultDomainRoundTrip is between failure domains of one region.
+	// DefaultDomainRoundTrip is for failure domains of one region.
 	DefaultDomainRoundTrip = 2 * time.Millisecond
 	// DefaultReportsPerSecond costs about a hundredth of a core.
 	DefaultReportsPerSecond = 300
@@ -53,27 +53,27 @@
 )
 
 const (
-	// usefulFactor is up to how many times its latency objective a job's answer is of
-	// use: the users count it as late until then, and as none beyond.
+	// usefulFactor is the multiple of a job's latency objective up to which its answer
+	// is of use: users count it as late until then, and as missing beyond.
 	usefulFactor = 3
-	// patiencePart is the part of its job's latency objective that an order waits at
-	// one worker at least before it is offered elsewhere.
-	patiencePart = 0.25
-	// patienceFactor is up to how many times longer than foretold it waits there: of the
-	// most urgent work, three of four wait less. With patiencePart alone, workers refused
-	// at once what they were expected to start later, time and again.
-	patienceFactor = 2
-	// meetWithin is how long after its begin an entry may not have met the agents yet:
-	// they try it again every 50 ms, take up to 150 ms for a connection to a machine
-	// that has no power, and tell of their worker after one look. Measured after the
-	// loss of power: the first after 80 to 180 ms, the last after 350.
-	meetWithin = 500 * time.Millisecond
-	// renewPart is the part of the silence that an agent bears after which an entry
-	// with runs there speaks: two frames may be late.
-	renewPart = 0.33
+	// minOrderWaitShare is the share of its job's latency objective for which an order
+	// may always wait at one worker before it is offered elsewhere.
+	minOrderWaitShare = 0.25
+	// orderWaitFactor is the multiple of its predicted wait that an order may wait at one
+	// worker: three of four of the most urgent tasks wait less. With minOrderWaitShare
+	// alone, workers repeatedly refused at once tasks that were expected to start later.
+	orderWaitFactor = 2
+	// startupPeriod is how long after its start an entry may still lack handshakes with
+	// agents. They retry every 50 ms, wait up to 150 ms for a connection to a machine
+	// without power, and report after one poll of their worker. After a loss of power
+	// the first handshake came after 80 to 180 ms, the last after 350 ms.
+	startupPeriod = 500 * time.Millisecond
+	// renewShare is the share of an agent's silence limit after which an entry with runs
+	// there sends a frame, so that two frames may be delayed.
+	renewShare = 0.33
 )
 
-// Decision is one decision for the log.
+// Decision is one decision, for the log.
 type Decision struct {
 	Event string
 	// Domain is a failure domain.
@@ -86,17 +86,17 @@
 	Agent   string
 	Order   uint64
 	Reason  string
-	// Age of what is known of the agent.
+	// Age of the agent's state on which the decision is based.
 	Age     time.Duration
 	Elapsed time.Duration
 	Waiting int
 	Free    size.Size
 	Outcome string
 	Retry   time.Duration
-	// Tasks of the job, and the longest time that one is expected to run.
+	// Tasks is the job's number of tasks, and Longest the expected time of its critical path.
 	Tasks   int
 	Longest time.Duration
-	// Limit is the time that the job had, and Objective the one that it was to end in.
+	// Limit is the job's time limit, and Objective its latency objective.
 	Limit, Objective time.Duration
 }
 
@@ -105,13 +105,13 @@
 
 // Outcomes.
 const (
-	// Completed: every task has ended well.
+	// Completed: all tasks succeeded.
 	Completed Outcome = iota
 	// Failed: a task failed as often as it may.
 	Failed
 	// NotRun: nothing has started, and nothing will.
 	NotRun
-	// Unknown: something has started, or may have, and not everything ended well.
+	// Unknown: something has started, or may have, and not everything succeeded.
 	Unknown
 )
 
@@ -124,48 +124,48 @@
 	Number  uint64
 	Outcome Outcome
 	Reason  string
-	// Permanent: sending the job again would be answered alike.
+	// Permanent: sending the job again would give the same answer.
 	Permanent bool
-	// RetryAfter is when a caller should come back; zero: not said.
+	// RetryAfter is how long the caller should wait before it retries; zero: unspecified.
 	RetryAfter time.Duration
 }
 
 // Reasons of answers.
 const (
-	ReasonNoWorkers   = "no workers known"
-	ReasonEvacuated   = "the failure domains of all workers are evacuated"
-	ReasonTooLarge    = "a task fits no worker"
-	ReasonOverload    = "more urgent work takes all workers"
-	ReasonBusy        = "the entry itself is behind"
-	ReasonHeld        = "no worker came free in time"
-	ReasonDeadline    = "time limit reached"
-	ReasonHopeless    = "too little time left"
-	ReasonAttempts    = "a task failed too often"
-	ReasonCrashes     = "workers crashed under a task"
-	ReasonAgentLost   = "an agent can't be reached"
-	ReasonLeaving     = "the entry is shutting down"
-	ReasonUnsupported = "not supported"
-	ReasonCancelled   = "cancelled"
+	ReasonNoWorkers    = "no workers known"
+	ReasonEvacuated    = "the failure domains of all workers are evacuated"
+	ReasonTooLarge     = "a task fits no worker"
+	ReasonOverload     = "more urgent work takes all workers"
+	ReasonBusy         = "the entry itself is behind"
+	ReasonHeld         = "no worker came free in time"
+	ReasonDeadline     = "time limit reached"
+	ReasonInfeasible   = "too little time left"
+	ReasonAttempts     = "a task failed too often"
+	ReasonCrashes      = "workers crashed under a task"
+	ReasonAgentLost    = "an agent can't be reached"
+	ReasonShuttingDown = "the entry is shutting down"
+	ReasonUnsupported  = "not supported"
+	ReasonCancelled    = "cancelled"
 )
 
-// Out is a frame for an agent.
-type Out struct {
+// OutboundFrame is a frame to be sent to an agent.
+type OutboundFrame struct {
 	Agent string // incarnation
 	Epoch uint64
 	Frame *pb.OrderFrame
 }
 
-// Ready is what the driver must carry out.
+// Ready holds what the driver must carry out.
 type Ready struct {
-	Frames  []Out
+	Frames  []OutboundFrame
 	Answers []Answer
-	// Close lists agents, by incarnation, whose links must be closed.
+	// Close lists the agents, by incarnation, whose links must be closed.
 	Close []string
-	// Wants are for other entries; see Invite.
+	// Wants holds requests to other entries for agents; see Invite.
 	Wants []Want
 }
 
-// Dispatcher is the state of one entry.
+// Dispatcher is the state of one entry. It isn't safe for concurrent use.
 type Dispatcher struct {
 	opts   Options
 	health *health.Judge
@@ -173,43 +173,43 @@
 	agents        []*agent // in order of arrival
 	byIncarnation map[string]*agent
 	touched       []*agent               // since the last call of Ready
-	wakes         indexheap.Heap[*agent] // the agents that are not touched
-	greeted       map[string]greeting    // links that their agents have not taken, by incarnation
-	entries       []string               // addresses of living entries, for agents
-	ordered       rate                   // orders
+	timers        indexheap.Heap[*agent] // next wake-ups of the agents that aren't touched
+	handshakes    map[string]handshake   // handshakes that the agents haven't completed, by incarnation
+	entries       []string               // addresses of live entries, sent to agents
+	orderRate     rate                   // of orders sent
 	cursor        int
 
-	number  uint64 // of the last job
-	orderNo uint64
-	jobs    map[uint64]*job
-	byID    map[string]*job      // by queue and id
-	ending  map[string]*job      // ended, with runs that have not; by queue and id
-	due     indexheap.Heap[*job] // those without an answer, by when they are due
-	waits   map[string]*waitlist // by service
-	learned map[string]*learned  // by queue
-	wants   map[string]*asked    // by service and label
-	margins map[string]*margin   // by queue
-	// lateYield is what comes of late work.
-	lateYield yield
-	config    *pb.Configuration
-	// evacuations are the failure domains in which nothing may start.
+	lastJob     uint64 // number of the last job
+	lastOrder   uint64
+	jobs        map[uint64]*job
+	byID        map[string]*job            // by queue and id
+	ending      map[string]*job            // answered, with live runs; by queue and id
+	jobTimers   indexheap.Heap[*job]       // unanswered jobs, by dueAt
+	waitlists   map[string]*waitlist       // by service
+	runTimes    map[string]*runTimeModel   // by queue
+	requests    map[string]*requestBackoff // by service and label
+	waitMargins map[string]*waitMargin     // by queue
+	// lateCompletion is the share of late jobs that were completed recently.
+	lateCompletion completionRatio
+	config         *pb.Configuration
+	// evacuations holds the failure domains in which nothing may start.
 	evacuations evacuation.View
 	crashes     crashes
 
-	begunAt time.Time // when the first input came
-	// dueAt is when a tick was asked for, and lag how late the process is, as ticks
-	// and inputs have shown lately.
-	dueAt   time.Time
-	readyAt time.Time // of the last call of Ready
-	lag     lagMeter
-	// lateAt is the agent that last refused an order as late, and lateSince when.
-	lateAt    *agent
-	lateSince time.Time
+	startedAt time.Time // time of the first input
+	// tickDueAt is when the requested tick is due, and timerLag how far the process
+	// has been behind recently, as shown by ticks and inputs.
+	tickDueAt   time.Time
+	lastReadyAt time.Time // time of the last call of Ready
+	timerLag    lagMeter
+	// staleAgent is the agent that last refused an order as stale, and staleAt when.
+	staleAgent *agent
+	staleAt    time.Time
 
-	// endsAt is when a process that leaves ends; zero: it stays.
-	endsAt time.Time
-	over   bool
-	ready  Ready
+	// shutdownAt is when a process that shuts down ends; zero: it isn't shutting down.
+	shutdownAt time.Time
+	terminated bool
+	ready      Ready
 }
 
 // New returns a Dispatcher without agents.
@@ -226,12 +226,12 @@
 	return &Dispatcher{
 		opts: o, health: health.New(o.Health),
 		jobs: make(map[uint64]*job), byID: make(map[string]*job), ending: make(map[string]*job),
-		waits: make(map[string]*waitlist), learned: make(map[string]*learned), wants: make(map[string]*asked), margins: make(map[string]*margin), byIncarnation: make(map[string]*agent), greeted: make(map[string]greeting),
+		waitlists: make(map[string]*waitlist), runTimes: make(map[string]*runTimeModel), requests: make(map[string]*requestBackoff), waitMargins: make(map[string]*waitMargin), byIncarnation: make(map[string]*agent), handshakes: make(map[string]handshake),
 	}
 }
 
-// SetConfiguration takes in a version of the configuration; an older one than
-// that in force is ignored. It reports whether the version is in force now.
+// SetConfiguration applies a version of the configuration; one that isn't newer than
+// the version in force is ignored. It reports whether c is in force now.
 func (d *Dispatcher) SetConfiguration(c *pb.Configuration) bool {
 	if d.config != nil && c.Version <= d.config.Version {
 		return false
@@ -242,27 +242,27 @@
 	return true
 }
 
-// Configuration in force; nil before the first.
+// Configuration returns the configuration in force; nil before the first.
 func (d *Dispatcher) Configuration() *pb.Configuration { return d.config }
 
-// SetEntries tells the addresses of the living entries. Each agent is told those among
-// which it chooses.
+// SetEntries sets the addresses of the live entries. Each agent is sent the subset
+// from which it chooses its links.
 func (d *Dispatcher) SetEntries(addresses []string) {
 	d.entries = addresses
 	for _, a := range d.agents {
-		d.setEntriesOf(a)
+		d.updateEntries(a)
 	}
 }
 
-func (d *Dispatcher) setEntriesOf(a *agent) {
+func (d *Dispatcher) updateEntries(a *agent) {
 	entries := subset.First(a.name, d.entries, subset.Told)
 	if !slices.Equal(entries, a.entries) {
-		a.entries, a.tellEntries = entries, true
+		a.entries, a.sendEntries = entries, true
 		d.touch(a)
 	}
 }
 
-// Links is the number of agents with a link.
+// Links returns the number of linked agents.
 func (d *Dispatcher) Links() int {
 	n := 0
 	for _, a := range d.agents {
@@ -273,8 +273,8 @@
 	return n
 }
 
-// Waiting counts, per queue, the jobs of which nothing has started and that came so long
-// ago or longer.
+// Waiting returns, per queue, the number of jobs that arrived at least since ago and of
+// which nothing has started.
 func (d *Dispatcher) Waiting(now time.Time, since time.Duration) map[string]int {
 	out := make(map[string]int)
 	for _, j := range d.jobs {
@@ -285,55 +285,55 @@
 	return out
 }
 
-// Open is the number of jobs without an answer.
+// Open returns the number of unanswered jobs.
 func (d *Dispatcher) Open() int { return len(d.jobs) }
 
-// End tells agents that the process ends now.
+// End notifies agents that the process ends now.
 func (d *Dispatcher) End() {
-	d.over = true
+	d.terminated = true
 	d.touchAll()
 }
 
-// Tick takes in the passing of time.
+// Tick handles everything that is due by now.
 func (d *Dispatcher) Tick(now time.Time) {
-	if !d.dueAt.IsZero() && !now.Before(d.dueAt) {
-		d.lag.take(now, now.Sub(d.dueAt))
+	if !d.tickDueAt.IsZero() && !now.Before(d.tickDueAt) {
+		d.timerLag.observe(now, now.Sub(d.tickDueAt))
 	}
-	for d.due.Len() > 0 && !now.Before(d.due.First().dueAt) {
-		d.jobDue(now, d.due.First())
+	for d.jobTimers.Len() > 0 && !now.Before(d.jobTimers.First().dueAt) {
+		d.handleJobTimer(now, d.jobTimers.First())
 	}
 	d.tickAgents(now)
 }
 
-// Next is when Tick is due; zero: not before the next input.
+// Next returns when Tick is due; zero: not before the next input.
 func (d *Dispatcher) Next() time.Time {
 	var next time.Time
-	if d.due.Len() > 0 {
-		next = d.due.First().dueAt
+	if d.jobTimers.Len() > 0 {
+		next = d.jobTimers.First().dueAt
 	}
-	next = link.Earlier(next, d.nextUnconfirmed())
-	if d.wakes.Len() > 0 {
-		next = link.Earlier(next, d.wakes.First().wakeAt)
+	next = link.Earlier(next, d.nextHandshakeExpiry())
+	if d.timers.Len() > 0 {
+		next = link.Earlier(next, d.timers.First().wakeAt)
 	}
-	// A tick at least this often shows whether the process keeps up.
+	// Ticks at least this often reveal whether the process keeps up.
 	if len(d.jobs) > 0 {
-		next = link.Earlier(next, d.lag.next())
+		next = link.Earlier(next, d.timerLag.nextSample())
 	}
-	d.dueAt = next
-	if next.Before(d.readyAt) {
-		d.dueAt = d.readyAt
+	d.tickDueAt = next
+	if next.Before(d.lastReadyAt) {
+		d.tickDueAt = d.lastReadyAt
 	}
 	return next
 }
 
-// Ready returns what has to be done since the last call.
+// Ready returns what must be carried out since the last call.
 func (d *Dispatcher) Ready(now time.Time) Ready {
-	d.readyAt = now
-	for d.due.Len() > 0 && !now.Before(d.due.First().dueAt) {
-		d.jobDue(now, d.due.First())
+	d.lastReadyAt = now
+	for d.jobTimers.Len() > 0 && !now.Before(d.jobTimers.First().dueAt) {
+		d.handleJobTimer(now, d.jobTimers.First())
 	}
 	d.place(now)
-	d.tellEager(now)
+	d.updateExpedite(now)
 	d.flushTouched(now)
 	r := d.ready
 	d.ready = Ready{}
--- a/dispatch/dispatcher/dispatcher_test.go
+++ b/dispatch/dispatcher/dispatcher_test.go
@@ -14,16 +14,16 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// bed is a dispatcher with agents that answer as a test says, on virtual time.
-type bed struct {
-	t       *testing.T
-	d       *Dispatcher
-	now     time.Time
-	times   bounds.Times
-	agents  map[string]*fakeAgent // by incarnation
-	answers map[uint64]Answer
-	jobs    int
-	wants   []Want
+// fixture is a dispatcher with scripted agents, on virtual time.
+type fixture struct {
+	t        *testing.T
+	d        *Dispatcher
+	now      time.Time
+	times    bounds.Times
+	agents   map[string]*fakeAgent // by incarnation
+	answers  map[uint64]Answer
+	jobs     int
+	requests []Want
 }
 
 type fakeAgent struct {
@@ -32,36 +32,36 @@
 	capacity, used    int64
 	orders            []*pb.Order // received and not ended
 	stops             []uint64
-	frees             int64 // what is said to come free soon
+	releases          int64 // CPU reported as soon released
 	seen              uint64
 	clean             bool
 	labels            []string
-	entries           []string // told last
+	entries           []string // last received
 	invitedBy         []string
-	eager             bool
+	expedite          bool
 	domain            string          // empty: that of the entry
-	evacuations       *pb.Evacuations // told last
+	evacuations       *pb.Evacuations // last received
 }
 
-func newBed(t *testing.T, agents ...string) *bed {
+func newFixture(t *testing.T, agents ...string) *fixture {
 	times, err := bounds.Derive(bounds.Given{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, now: time.Unix(1000, 0), times: times, agents: map[string]*fakeAgent{}, answers: map[uint64]Answer{}}
+	b := &fixture{t: t, now: time.Unix(1000, 0), times: times, agents: map[string]*fakeAgent{}, answers: map[uint64]Answer{}}
 	b.d = New(Options{
 		Entry: "entry-1", Incarnation: "e1", FailureDomain: "hall", Times: times,
 		Link: link.Options{AckDelay: 50 * time.Millisecond, AckTimeout: time.Minute, Heartbeat: time.Minute, HeartbeatTimeout: time.Hour},
 	})
-	// It has run for a while.
-	b.d.begin(b.now.Add(-meetWithin))
+	// Its startup period is over.
+	b.d.recordFirstInput(b.now.Add(-startupPeriod))
 	for _, a := range agents {
 		b.attach(a, a+"-1")
 	}
 	return b
 }
 
-func (b *bed) attach(name, incarnation string) *fakeAgent {
+func (b *fixture) attach(name, incarnation string) *fakeAgent {
 	a := b.agents[incarnation]
 	g := &pb.AgentGreeting{Agent: name, Incarnation: incarnation, FailureDomain: "hall"}
 	if a != nil && a.domain != "" {
@@ -81,36 +81,36 @@
 	return a
 }
 
-func (b *bed) report(a *fakeAgent, news ...*pb.OrderNews) {
+func (b *fixture) report(a *fakeAgent, news ...*pb.OrderNews) {
 	a.seq++
-	b.d.Step(b.now, a.incarnation, a.epoch, &pb.WorkerFrame{Seq: a.seq, Ack: a.ack, State: a.stateNow(), News: news})
+	b.d.Step(b.now, a.incarnation, a.epoch, &pb.WorkerFrame{Seq: a.seq, Ack: a.ack, State: a.currentState(), News: news})
 	b.ready()
 }
 
-// stateNow is what the agent reports.
-func (a *fakeAgent) stateNow() *pb.WorkerState {
+// currentState returns the state that the agent reports.
+func (a *fakeAgent) currentState() *pb.WorkerState {
 	s := &pb.WorkerState{
 		Worker: "w-" + a.incarnation, Service: "s", Accepting: true, Clean: a.clean, SeenOrder: a.seen, Labels: a.labels,
 		Capacity: &pb.Size{CpuMillis: uint32(a.capacity), MemoryMb: 1000},
 		Room:     &pb.Room{CpuMillis: int32(a.capacity - a.used), MemoryMb: 1000},
 	}
 	for range forecast.Horizons {
-		s.Frees = append(s.Frees, uint32(a.frees))
+		s.Frees = append(s.Frees, uint32(a.releases))
 	}
 	return s
 }
 
-func (b *bed) ready() {
+func (b *fixture) ready() {
 	r := b.d.Ready(b.now)
 	for _, f := range r.Frames {
 		a := b.agents[f.Agent]
 		if a == nil {
-			b.t.Fatalf("a frame for %s, which no agent has", f.Agent)
+			b.t.Fatalf("a frame for the unknown agent %s", f.Agent)
 		}
 		a.ack = f.Frame.Seq
 		a.orders = append(a.orders, f.Frame.Orders...)
 		a.stops = append(a.stops, f.Frame.Stops...)
-		a.eager = f.Frame.Eager
+		a.expedite = f.Frame.Eager
 		a.invitedBy = append(a.invitedBy, f.Frame.InvitedBy...)
 		if len(f.Frame.Entries) > 0 {
 			a.entries = f.Frame.Entries
@@ -123,13 +123,13 @@
 			a.used += int64(o.Size.CpuMillis)
 		}
 	}
-	b.wants = append(b.wants, r.Wants...)
+	b.requests = append(b.requests, r.Wants...)
 	for _, a := range r.Answers {
 		b.answers[a.Number] = a
 	}
 }
 
-func (b *bed) wait(d time.Duration) {
+func (b *fixture) advance(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.now = b.now.Add(min(10*time.Millisecond, end.Sub(b.now)))
 		b.d.Tick(b.now)
@@ -145,7 +145,7 @@
 	return Job{Queue: queue(), Steps: []Step{{Count: n, Size: size.Size{CPUMillis: cpu, MemoryMB: 1}, Estimated: estimated}}}
 }
 
-func (b *bed) submit(j Job) (uint64, *Answer) {
+func (b *fixture) submit(j Job) (uint64, *Answer) {
 	b.jobs++
 	j.ID = fmt.Sprintf("%016x", b.jobs)
 	n, refused := b.d.Submit(b.now, j)
@@ -153,7 +153,7 @@
 	return n, refused
 }
 
-func (b *bed) accepted(j Job) uint64 {
+func (b *fixture) mustSubmit(j Job) uint64 {
 	b.t.Helper()
 	n, refused := b.submit(j)
 	if refused != nil {
@@ -162,8 +162,8 @@
 	return n
 }
 
-// sent lists all orders at agents, oldest first.
-func (b *bed) sent() (out []*pb.Order) {
+// orders returns all orders at agents, oldest first.
+func (b *fixture) orders() (out []*pb.Order) {
 	for _, a := range b.agents {
 		out = append(out, a.orders...)
 	}
@@ -171,8 +171,8 @@
 	return out
 }
 
-// at is the agent that holds an order.
-func (b *bed) at(o *pb.Order) *fakeAgent {
+// holder returns the agent that holds an order.
+func (b *fixture) holder(o *pb.Order) *fakeAgent {
 	for _, a := range b.agents {
 		if slices.Contains(a.orders, o) {
 			return a
@@ -182,9 +182,9 @@
 	return nil
 }
 
-// tell reports an order's state; one that ends it frees its room.
-func (b *bed) tell(o *pb.Order, state pb.OrderState, reason string, ran time.Duration) {
-	a := b.at(o)
+// reportOrder reports an order's state; one that ends the order frees its capacity.
+func (b *fixture) reportOrder(o *pb.Order, state pb.OrderState, reason string, ran time.Duration) {
+	a := b.holder(o)
 	switch state {
 	case pb.OrderState_ORDER_STATE_STARTED, pb.OrderState_ORDER_STATE_STALLED:
 	default:
@@ -194,7 +194,7 @@
 	b.report(a, &pb.OrderNews{Number: o.Number, State: state, Reason: reason, RunMs: uint32(ran.Milliseconds())})
 }
 
-func (b *bed) wantAnswer(n uint64, want Outcome, reason string) {
+func (b *fixture) wantAnswer(n uint64, want Outcome, reason string) {
 	b.t.Helper()
 	a, ok := b.answers[n]
 	if !ok || a.Outcome != want || reason != "" && a.Reason != reason {
@@ -203,9 +203,9 @@
 }
 
 func TestJobIsCompletedByAllItsTasks(t *testing.T) {
-	b := newBed(t, "a", "b")
-	n := b.accepted(tasks(3, 1000, 100*time.Millisecond))
-	orders := b.sent()
+	b := newFixture(t, "a", "b")
+	n := b.mustSubmit(tasks(3, 1000, 100*time.Millisecond))
+	orders := b.orders()
 	if len(orders) != 3 {
 		t.Fatalf("%d orders, want 3", len(orders))
 	}
@@ -213,93 +213,92 @@
 		if _, ok := b.answers[n]; ok {
 			t.Fatalf("answered after %d of 3 tasks", i)
 		}
-		b.tell(o, pb.OrderState_ORDER_STATE_DONE, "", 100*time.Millisecond)
+		b.reportOrder(o, pb.OrderState_ORDER_STATE_DONE, "", 100*time.Millisecond)
 	}
 	b.wantAnswer(n, Completed, "")
 }
 
 func TestStepsRunInTheirOrder(t *testing.T) {
-	b := newBed(t, "a")
+	b := newFixture(t, "a")
 	j := tasks(2, 500, 50*time.Millisecond)
 	j.Steps = append(j.Steps, Step{Count: 1, Size: size.Size{CPUMillis: 500}, Estimated: 50 * time.Millisecond, After: []int{0}})
-	n := b.accepted(j)
-	first := b.sent()
+	n := b.mustSubmit(j)
+	first := b.orders()
 	if len(first) != 2 {
 		t.Fatalf("%d orders, want the first step's 2", len(first))
 	}
-	b.tell(first[0], pb.OrderState_ORDER_STATE_DONE, "", 50*time.Millisecond)
-	if got := len(b.sent()); got != 1 {
-		t.Fatalf("%d orders while a task of the step before runs, want 1", got)
+	b.reportOrder(first[0], pb.OrderState_ORDER_STATE_DONE, "", 50*time.Millisecond)
+	if got := len(b.orders()); got != 1 {
+		t.Fatalf("%d orders while a task of the previous step runs, want 1", got)
 	}
-	b.tell(first[1], pb.OrderState_ORDER_STATE_DONE, "", 50*time.Millisecond)
-	last := b.sent()
+	b.reportOrder(first[1], pb.OrderState_ORDER_STATE_DONE, "", 50*time.Millisecond)
+	last := b.orders()
 	if len(last) != 1 || last[0].Task[len(last[0].Task)-4:] != ".1.0" {
 		t.Fatalf("orders %v, want the second step's", last)
 	}
-	b.tell(last[0], pb.OrderState_ORDER_STATE_DONE, "", 50*time.Millisecond)
+	b.reportOrder(last[0], pb.OrderState_ORDER_STATE_DONE, "", 50*time.Millisecond)
 	b.wantAnswer(n, Completed, "")
 }
 
-// A worker fails everything. The caller notices nothing as long as another one runs
-// the task, and hears of the failure when the queue's attempts are used up.
+// A worker fails everything. The caller doesn't notice while another worker runs the task,
+// and gets the failure when the queue's attempts are used up.
 func TestFailedTaskRunsElsewhereUpToTheAttempts(t *testing.T) {
-	b := newBed(t, "a", "b")
-	n := b.accepted(tasks(1, 1000, 100*time.Millisecond))
-	first := b.sent()[0]
-	at := b.at(first).name
-	b.tell(first, pb.OrderState_ORDER_STATE_FAILED, "", 10*time.Millisecond)
-	second := b.sent()[0]
-	if got := b.at(second).name; got == at || second.Run <= first.Run {
+	b := newFixture(t, "a", "b")
+	n := b.mustSubmit(tasks(1, 1000, 100*time.Millisecond))
+	first := b.orders()[0]
+	at := b.holder(first).name
+	b.reportOrder(first, pb.OrderState_ORDER_STATE_FAILED, "", 10*time.Millisecond)
+	second := b.orders()[0]
+	if got := b.holder(second).name; got == at || second.Run <= first.Run {
 		t.Errorf("second run %d at %s, want a higher number than %d elsewhere than %s", second.Run, got, first.Run, at)
 	}
-	b.tell(second, pb.OrderState_ORDER_STATE_FAILED, "", 10*time.Millisecond)
+	b.reportOrder(second, pb.OrderState_ORDER_STATE_FAILED, "", 10*time.Millisecond)
 	b.wantAnswer(n, Failed, ReasonAttempts)
-	if len(b.sent()) != 0 {
+	if len(b.orders()) != 0 {
 		t.Error("a third run was ordered")
 	}
 }
 
-// Another entry has run the task before, at the caller's first attempt. The worker
-// refuses run numbers that it has seen, and the job would never start there.
-func TestRunNumberPassesThoseOfAnEarlierAttempt(t *testing.T) {
-	b := newBed(t, "a")
-	b.accepted(tasks(1, 1000, 100*time.Millisecond))
-	first := b.sent()[0]
-	b.tell(first, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonOldRun, 0)
-	if again := b.sent(); len(again) != 1 || again[0].Run < first.Run+100 {
+// Another entry has run the task before, for the caller's first attempt. The worker refuses
+// run numbers that it has seen, and the job would never start there.
+func TestRunNumberExceedsThoseOfEarlierAttempt(t *testing.T) {
+	b := newFixture(t, "a")
+	b.mustSubmit(tasks(1, 1000, 100*time.Millisecond))
+	first := b.orders()[0]
+	b.reportOrder(first, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonOldRun, 0)
+	if again := b.orders(); len(again) != 1 || again[0].Run < first.Run+100 {
 		t.Errorf("orders %v, want one with a run number far above %d", again, first.Run)
 	}
 }
 
-// All workers are taken, by what lasts. Whether a caller waits or is refused, it has
-// to know at once, and when to come back.
-func TestOverloadIsRefusedAtTheDoor(t *testing.T) {
-	b := newBed(t, "a")
-	b.accepted(tasks(4, 1000, time.Second))
+// All workers are full of long tasks. A job is refused at once, with a time to come back.
+func TestOverloadIsRefusedAtOnce(t *testing.T) {
+	b := newFixture(t, "a")
+	b.mustSubmit(tasks(4, 1000, time.Second))
 	_, refused := b.submit(tasks(1, 1000, 100*time.Millisecond))
 	if refused == nil || refused.Outcome != NotRun || refused.Reason != ReasonOverload || refused.RetryAfter < time.Second {
-		t.Errorf("answer %+v, want not run, with a time to come back", refused)
+		t.Errorf("answer %+v, want not run with a RetryAfter", refused)
 	}
-	if len(b.sent()) != 4 {
-		t.Error("something of the refused job was ordered")
+	if len(b.orders()) != 4 {
+		t.Error("a task of the refused job was ordered")
 	}
 }
 
-// All workers are taken, but one comes free soon: the job is worth waiting.
-func TestJobWaitsWhereRoomComesFreeInTime(t *testing.T) {
-	b := newBed(t, "a")
-	b.accepted(tasks(4, 1000, 200*time.Millisecond))
-	b.agents["a-1"].frees = 1000
+// All workers are full, but one is soon released: the job waits there.
+func TestJobWaitsForCapacityReleasedInTime(t *testing.T) {
+	b := newFixture(t, "a")
+	b.mustSubmit(tasks(4, 1000, 200*time.Millisecond))
+	b.agents["a-1"].releases = 1000
 	b.report(b.agents["a-1"])
-	b.accepted(tasks(1, 1000, 200*time.Millisecond))
-	if got := len(b.sent()); got != 5 {
+	b.mustSubmit(tasks(1, 1000, 200*time.Millisecond))
+	if got := len(b.orders()); got != 5 {
 		t.Errorf("%d orders, want the fifth to wait at the agent", got)
 	}
 }
 
-// Jobs that can't be run are refused before anything starts: the caller can do
-// something else with its time.
-func TestRefusalsAtTheDoor(t *testing.T) {
+// Jobs that can't be completed are refused before anything starts, so that the caller can use
+// its time otherwise.
+func TestImmediateRefusals(t *testing.T) {
 	for name, c := range map[string]struct {
 		job    Job
 		agents []string
@@ -308,25 +307,25 @@
 		"no worker":   {tasks(1, 1000, time.Second), nil, ReasonNoWorkers},
 		"too large":   {tasks(1, 4001, time.Second), []string{"a"}, ReasonTooLarge},
 		"unsupported": {Job{Queue: queue(), Unsupported: "gangs", Steps: []Step{{Count: 1}}}, []string{"a"}, ReasonUnsupported + ": gangs"},
-		"hopeless":    {tasks(1, 100, time.Minute), []string{"a"}, ReasonHopeless},
+		"hopeless":    {tasks(1, 100, time.Minute), []string{"a"}, ReasonInfeasible},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, c.agents...)
+			b := newFixture(t, c.agents...)
 			_, refused := b.submit(c.job)
 			if refused == nil || refused.Outcome != NotRun || refused.Reason != c.reason {
 				t.Errorf("answer %+v, want not run for %q", refused, c.reason)
 			}
-			if len(b.sent()) != 0 {
+			if len(b.orders()) != 0 {
 				t.Error("something was ordered")
 			}
 		})
 	}
 }
 
-// A caller leaves. Its tasks would take workers from those that wait.
-func TestRunsOfACallerThatLeftAreStopped(t *testing.T) {
-	b := newBed(t, "a")
-	n := b.accepted(tasks(2, 1000, time.Second))
+// A caller disconnects. Its tasks would keep workers from other jobs.
+func TestRunsOfDisconnectedCallerAreStopped(t *testing.T) {
+	b := newFixture(t, "a")
+	n := b.mustSubmit(tasks(2, 1000, time.Second))
 	b.d.CallerGone(b.now, n)
 	b.ready()
 	if got := len(b.agents["a-1"].stops); got != 2 {
@@ -334,145 +333,145 @@
 	}
 }
 
-// A link breaks with orders on it. What the agent says it never received will not
-// start, so it goes elsewhere at once; what it has received stays where it is.
-func TestOrdersOfABrokenLink(t *testing.T) {
-	b := newBed(t, "a")
-	b.accepted(tasks(2, 1000, 400*time.Millisecond))
+// A link breaks with orders on it. Orders that the agent never received will not start, so
+// they are placed again at once; those that it has received stay there.
+func TestOrdersOfBrokenLink(t *testing.T) {
+	b := newFixture(t, "a")
+	b.mustSubmit(tasks(2, 1000, 400*time.Millisecond))
 	a := b.agents["a-1"]
 	received, lost := a.orders[0], a.orders[1]
-	b.tell(received, pb.OrderState_ORDER_STATE_STARTED, "", 0)
+	b.reportOrder(received, pb.OrderState_ORDER_STATE_STARTED, "", 0)
 	a.seen = received.Number
 	a.orders = a.orders[:1]
 	b.d.LinkDown(b.now, "a-1", a.epoch)
-	b.wait(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	b.attach("a", "a-1")
 	if len(a.orders) != 2 || a.orders[1].Task != lost.Task || a.orders[1].Number <= lost.Number {
 		t.Errorf("orders %v, want the lost one again under a new number", a.orders)
 	}
 }
 
-// An agent can't be reached any more. Its worker may go on with a task until its
-// lease ends, so the task may run elsewhere only after that; a caller whose time
-// does not reach so far is told at once.
-func TestTasksOfALostAgentRunElsewhereWhenItsRunsAreOver(t *testing.T) {
-	b := newBed(t, "a")
+// An agent can't be reached any more. Its worker may go on with a task until its lease ends,
+// so the task may run elsewhere only after that. A caller whose time limit is earlier is
+// answered at once.
+func TestTasksOfLostAgentRunElsewhereAfterItsRuns(t *testing.T) {
+	b := newFixture(t, "a")
 	j := tasks(1, 1000, 200*time.Millisecond)
 	j.TimeLimit = 10 * time.Second
-	patient := b.accepted(j)
-	hurried := b.accepted(tasks(1, 1000, 200*time.Millisecond))
+	longLimit := b.mustSubmit(j)
+	shortLimit := b.mustSubmit(tasks(1, 1000, 200*time.Millisecond))
 	a := b.agents["a-1"]
 	for _, o := range slices.Clone(a.orders) {
-		b.tell(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
+		b.reportOrder(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
 	}
 	b.attach("b", "b-1")
 	b.d.LinkDown(b.now, "a-1", a.epoch)
-	b.wait(b.times.GiveUp + 10*time.Millisecond)
-	b.wantAnswer(hurried, Unknown, ReasonAgentLost)
-	b.wait(b.times.RunsOver - b.times.GiveUp - 30*time.Millisecond)
+	b.advance(b.times.GiveUp + 10*time.Millisecond)
+	b.wantAnswer(shortLimit, Unknown, ReasonAgentLost)
+	b.advance(b.times.RunsOver - b.times.GiveUp - 30*time.Millisecond)
 	if got := len(b.agents["b-1"].orders); got != 0 {
-		t.Fatalf("%d orders elsewhere before the runs are over", got)
+		t.Fatalf("%d orders elsewhere before the runs must have ended", got)
 	}
-	b.wait(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	if got := len(b.agents["b-1"].orders); got != 1 {
-		t.Fatalf("%d orders elsewhere after the runs are over, want 1", got)
+		t.Fatalf("%d orders elsewhere after the runs must have ended, want 1", got)
 	}
-	if _, ok := b.answers[patient]; ok {
-		t.Error("the patient caller was answered")
+	if _, ok := b.answers[longLimit]; ok {
+		t.Error("the job with the long time limit was answered")
 	}
 }
 
-// An agent is restarted while its worker runs a task. The task was run elsewhere at
-// once, beside the run that went on until its lease ended.
-func TestTasksOfARestartedAgentWaitUntilNothingIsLeft(t *testing.T) {
-	b := newBed(t, "a", "b")
+// An agent is restarted while its worker runs a task. Run elsewhere at once, the task would
+// run twice at a time until the first run's lease ended.
+func TestTasksOfRestartedAgentWaitForOrphanedRuns(t *testing.T) {
+	b := newFixture(t, "a", "b")
 	j := tasks(1, 1000, 200*time.Millisecond)
 	j.TimeLimit = 10 * time.Second
-	b.accepted(j)
-	o := b.sent()[0]
-	old := b.at(o)
-	b.tell(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
+	b.mustSubmit(j)
+	o := b.orders()[0]
+	old := b.holder(o)
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
 	old.orders = nil
 	b.agents[old.name+"-2"] = &fakeAgent{name: old.name, incarnation: old.name + "-2", capacity: 4000, clean: false}
 	next := b.attach(old.name, old.name+"-2")
-	b.wait(100 * time.Millisecond)
-	if got := len(b.sent()); got != 0 {
+	b.advance(100 * time.Millisecond)
+	if got := len(b.orders()); got != 0 {
 		t.Fatalf("%d orders while runs of the earlier process may be left", got)
 	}
 	next.clean = true
 	b.report(next)
-	if got := len(b.sent()); got != 1 {
-		t.Errorf("%d orders when nothing is left, want 1", got)
+	if got := len(b.orders()); got != 1 {
+		t.Errorf("%d orders when no run is left, want 1", got)
 	}
 }
 
-// An estimate is half of what a job's tasks take. Moving them on that sign alone
-// threw a fifteenth of a quiet day's work away: the new runs last as long.
-func TestSlowRunIsMovedOnlyWithASignBesideTheEstimate(t *testing.T) {
-	stall := func(b *bed, o *pb.Order) {
-		a := b.at(o)
+// An estimate is half of what a job's tasks take. Moving runs on that evidence alone wasted a
+// fifteenth of the work of a day with low load, since the new runs last as long.
+func TestSlowRunIsMovedOnlyWithEvidenceBeyondEstimate(t *testing.T) {
+	stall := func(b *fixture, o *pb.Order) {
+		a := b.holder(o)
 		b.report(a, &pb.OrderNews{Number: o.Number, State: pb.OrderState_ORDER_STATE_STALLED, RunMs: 100, RemainingMs: 300})
 	}
 	t.Run("estimate alone", func(t *testing.T) {
-		b := newBed(t, "a", "b")
-		b.accepted(tasks(1, 1000, 100*time.Millisecond))
-		stall(b, b.sent()[0])
+		b := newFixture(t, "a", "b")
+		b.mustSubmit(tasks(1, 1000, 100*time.Millisecond))
+		stall(b, b.orders()[0])
 		if len(b.agents["a-1"].stops)+len(b.agents["b-1"].stops) != 0 {
 			t.Error("the run was stopped")
 		}
 	})
 	t.Run("task of the same step", func(t *testing.T) {
-		b := newBed(t, "a", "b")
-		b.accepted(tasks(2, 3000, 100*time.Millisecond))
-		slow, quick := b.sent()[0], b.sent()[1]
-		at := b.at(slow)
+		b := newFixture(t, "a", "b")
+		b.mustSubmit(tasks(2, 3000, 100*time.Millisecond))
+		slow, quick := b.orders()[0], b.orders()[1]
+		at := b.holder(slow)
 		stall(b, slow)
-		b.tell(quick, pb.OrderState_ORDER_STATE_DONE, "", 100*time.Millisecond)
+		b.reportOrder(quick, pb.OrderState_ORDER_STATE_DONE, "", 100*time.Millisecond)
 		if !slices.Contains(at.stops, slow.Number) {
 			t.Fatal("the run was not stopped")
 		}
-		b.tell(slow, pb.OrderState_ORDER_STATE_STOPPED, "", 120*time.Millisecond)
-		if again := b.sent(); len(again) != 1 || b.at(again[0]) == at {
+		b.reportOrder(slow, pb.OrderState_ORDER_STATE_STOPPED, "", 120*time.Millisecond)
+		if again := b.orders(); len(again) != 1 || b.holder(again[0]) == at {
 			t.Errorf("orders %v, want one elsewhere", again)
 		}
 	})
 }
 
-// A task will last longer than its caller waits, as its progress shows. Kept until
-// the end, it would take a worker from others, and the caller would know last.
-func TestJobThatCannotEndInTimeIsGivenUpAtOnce(t *testing.T) {
-	b := newBed(t, "a")
-	n := b.accepted(tasks(1, 1000, time.Second))
-	o := b.sent()[0]
-	b.tell(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
-	b.wait(200 * time.Millisecond)
-	b.report(b.at(o), &pb.OrderNews{Number: o.Number, State: pb.OrderState_ORDER_STATE_STALLED, RunMs: 200, RemainingMs: 1400})
-	b.wantAnswer(n, Unknown, ReasonHopeless)
-}
-
-// Nothing of a job has started when its time to wait is over, and an order is still
-// under way: "not run" would be a guess.
-func TestNotRunIsSaidOnlyWithoutOrdersUnderWay(t *testing.T) {
-	b := newBed(t, "a")
-	n := b.accepted(tasks(1, 1000, 100*time.Millisecond))
-	b.wait(1490 * time.Millisecond)
+// A run's progress shows that it will end after its caller's time limit. Continued, it would
+// keep a worker from other jobs, and the caller would be the last to know.
+func TestInfeasibleJobIsAbandonedAtOnce(t *testing.T) {
+	b := newFixture(t, "a")
+	n := b.mustSubmit(tasks(1, 1000, time.Second))
+	o := b.orders()[0]
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
+	b.advance(200 * time.Millisecond)
+	b.report(b.holder(o), &pb.OrderNews{Number: o.Number, State: pb.OrderState_ORDER_STATE_STALLED, RunMs: 200, RemainingMs: 1400})
+	b.wantAnswer(n, Unknown, ReasonInfeasible)
+}
+
+// Nothing of a job has started at its time limit, but an order is still live: "not run"
+// would be a guess.
+func TestNotRunRequiresThatNoOrderIsLive(t *testing.T) {
+	b := newFixture(t, "a")
+	n := b.mustSubmit(tasks(1, 1000, 100*time.Millisecond))
+	b.advance(1490 * time.Millisecond)
 	if _, ok := b.answers[n]; ok {
 		t.Fatal("answered before the time limit")
 	}
-	b.wait(20 * time.Millisecond)
+	b.advance(20 * time.Millisecond)
 	b.wantAnswer(n, Unknown, ReasonDeadline)
-	m := b.accepted(tasks(1, 1000, 100*time.Millisecond))
-	o := b.sent()[len(b.sent())-1]
-	b.wait(100 * time.Millisecond)
-	b.agents["a-1"].used = 5000 // full, also without this order
-	b.tell(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
+	m := b.mustSubmit(tasks(1, 1000, 100*time.Millisecond))
+	o := b.orders()[len(b.orders())-1]
+	b.advance(100 * time.Millisecond)
+	b.agents["a-1"].used = 5000 // full even without this order
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
 	b.wantAnswer(m, NotRun, ReasonHeld)
 }
 
-// Two entries or a stale read hand in an older configuration. Taking it would bring
-// back routes that operators have dropped.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	b := newBed(t)
+// A second entry or a stale read supplies an older configuration. Applied, it would restore
+// routes that operators have deleted.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	b := newFixture(t)
 	for _, c := range []struct {
 		version uint64
 		want    bool
@@ -486,24 +485,24 @@
 	}
 }
 
-// A caller's connection breaks and it sends its job again to the same entry, which
-// still has it. A second set of runs would be a second stamp on one serial.
+// A caller's connection breaks and it sends its job again to the same entry, which still has
+// it. A second set of runs would repeat side effects.
 func TestJobSentAgainToTheSameEntryIsJoined(t *testing.T) {
-	b := newBed(t, "a")
+	b := newFixture(t, "a")
 	j := tasks(1, 1000, 100*time.Millisecond)
 	j.ID = "00000000000000ff"
 	first, _ := b.d.Submit(b.now, j)
 	second, _ := b.d.Submit(b.now, j)
 	b.ready()
-	if first != second || len(b.sent()) != 1 {
-		t.Errorf("jobs %d and %d with %d orders, want one job with one order", first, second, len(b.sent()))
+	if first != second || len(b.orders()) != 1 {
+		t.Errorf("jobs %d and %d with %d orders, want one job with one order", first, second, len(b.orders()))
 	}
 }
 
-// Estimates of a queue are off by half either way, job by job. Of a job with a long
-// one, the better guess lies between it and what is usual.
-func TestRunTimesAreLearnedAgainstEstimates(t *testing.T) {
-	l := &learned{}
+// Estimates of a queue are off by half either way, job by job. For a job with a long estimate,
+// the better prediction lies between it and the queue's typical run time.
+func TestRunTimesAreLearnedRelativeToEstimates(t *testing.T) {
+	l := &runTimeModel{}
 	for i := range 400 {
 		ran := 800 * time.Millisecond
 		if i%2 == 0 {
@@ -513,58 +512,57 @@
 		if i%4 < 2 {
 			estimated = ran * 2 / 3
 		}
-		l.take(estimated, ran)
+		l.observe(estimated, ran)
 	}
 	long := l.expected(2400 * time.Millisecond)
 	if long < 900*time.Millisecond || long > 1800*time.Millisecond {
-		t.Errorf("expected %v of an estimate of 2.4 s, want between what is usual and the estimate", long)
+		t.Errorf("expected %v of an estimate of 2.4 s, want between the typical run time and the estimate", long)
 	}
-	if least := l.atLeast(long); least >= long || least < 500*time.Millisecond {
-		t.Errorf("at least %v of %v", least, long)
+	if least := l.lowerBound(long); least >= long || least < 500*time.Millisecond {
+		t.Errorf("lower bound %v of %v", least, long)
 	}
 }
 
-// The answers of two starts are lost. One task has run and ended before that was
-// known; the other never began, and its refusal comes last. Something has run.
-func TestNotRunIsNotSaidAfterAnEndWithoutAStart(t *testing.T) {
-	b := newBed(t, "a")
-	n := b.accepted(tasks(2, 1000, 100*time.Millisecond))
-	ran, refused := b.sent()[0], b.sent()[1]
-	b.tell(ran, pb.OrderState_ORDER_STATE_DONE, "", 30*time.Millisecond)
-	b.wait(100 * time.Millisecond)
-	b.tell(refused, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonUnanswered, 0)
+// The replies to two starts are lost. One task has run and ended before its start was
+// reported; the other never began, and its refusal comes last. Something has run.
+func TestNotRunIsRuledOutByEndWithoutStart(t *testing.T) {
+	b := newFixture(t, "a")
+	n := b.mustSubmit(tasks(2, 1000, 100*time.Millisecond))
+	ran, refused := b.orders()[0], b.orders()[1]
+	b.reportOrder(ran, pb.OrderState_ORDER_STATE_DONE, "", 30*time.Millisecond)
+	b.advance(100 * time.Millisecond)
+	b.reportOrder(refused, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonUnanswered, 0)
 	if a, ok := b.answers[n]; ok && a.Outcome == NotRun {
 		t.Errorf("answer %+v of a job of which a task has run", a)
 	}
 }
 
-// An entry was frozen. It takes in a job, that its caller has left, and the caller's
-// next attempt one after the other: what the first attempt started is still being
-// stopped.
-func TestNextAttemptWaitsForTheRunsOfTheOneBefore(t *testing.T) {
-	b := newBed(t, "a", "b")
+// After a suspension, an entry handles a job whose caller has disconnected and then the
+// caller's next attempt, while the runs of the first attempt are still being stopped.
+func TestNextAttemptWaitsForRunsOfPreviousOne(t *testing.T) {
+	b := newFixture(t, "a", "b")
 	j := tasks(1, 1000, 100*time.Millisecond)
 	j.ID = "00000000000000ff"
 	first, _ := b.d.Submit(b.now, j)
 	b.ready()
-	o := b.sent()[0]
-	b.tell(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
+	o := b.orders()[0]
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
 	b.d.CallerGone(b.now, first)
 	b.d.Submit(b.now, j)
 	b.ready()
-	if got := len(b.sent()); got != 1 {
-		t.Fatalf("%d orders while the first attempt's run has not ended, want its one", got)
+	if got := len(b.orders()); got != 1 {
+		t.Fatalf("%d orders while the first attempt's run has not ended, want that run's alone", got)
 	}
-	b.tell(o, pb.OrderState_ORDER_STATE_STOPPED, "", 10*time.Millisecond)
-	if got := b.sent(); len(got) != 1 || got[0].Run <= o.Run {
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_STOPPED, "", 10*time.Millisecond)
+	if got := b.orders(); len(got) != 1 || got[0].Run <= o.Run {
 		t.Errorf("orders %v, want one with a higher run number", got)
 	}
 }
 
-// A caller leaves in the moment in which its job is placed. What has not left the
-// entry is taken back, without a message.
-func TestOrdersNotSentAreTakenBack(t *testing.T) {
-	b := newBed(t, "a")
+// A caller disconnects while its job is placed. Orders that have not left the entry are
+// withdrawn without a message.
+func TestUnsentOrdersAreWithdrawn(t *testing.T) {
+	b := newFixture(t, "a")
 	n, _ := b.d.Submit(b.now, tasks(2, 1000, 100*time.Millisecond))
 	b.d.place(b.now)
 	b.d.CallerGone(b.now, n)
@@ -574,46 +572,45 @@
 	}
 }
 
-// An agent was lost with an order of which nothing was heard, and the next worker
-// refuses the task. What the first one did is not known, so "not run" can't be said.
-func TestNotRunIsNotSaidOfALostOrder(t *testing.T) {
-	b := newBed(t, "a")
+// An agent was lost with an order on which it had not reported, and the next worker refuses
+// the task. The first one may have run it, so the answer can't be "not run".
+func TestNotRunIsRuledOutByLostOrder(t *testing.T) {
+	b := newFixture(t, "a")
 	j := tasks(1, 1000, 200*time.Millisecond)
 	j.TimeLimit = 10 * time.Second
-	n := b.accepted(j)
+	n := b.mustSubmit(j)
 	b.attach("b", "b-1")
 	b.d.LinkDown(b.now, "a-1", b.agents["a-1"].epoch)
-	b.wait(b.times.RunsOver + 50*time.Millisecond)
+	b.advance(b.times.RunsOver + 50*time.Millisecond)
 	second := b.agents["b-1"].orders[0]
 	b.agents["b-1"].used = 4000
-	b.tell(second, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
-	b.wait(10 * time.Second)
+	b.reportOrder(second, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
+	b.advance(10 * time.Second)
 	if a, ok := b.answers[n]; !ok || a.Outcome != Unknown {
 		t.Errorf("answer %+v (%v), want unknown", a, ok)
 	}
 }
 
-// An entry has less processor than its callers need. It takes in requests late and
-// would place them later still; callers are told at once, and what waits in its own
-// sockets is not held against the agents.
-func TestEntryThatIsBehindRefusesAndTrustsItsLinks(t *testing.T) {
-	b := newBed(t, "a")
-	b.accepted(tasks(1, 1000, 100*time.Millisecond))
+// An entry has less CPU than its callers need, and handles requests late. It must refuse jobs
+// at once, and not time out agents whose frames wait in its own sockets.
+func TestLaggingEntryRefusesAndTrustsItsLinks(t *testing.T) {
+	b := newFixture(t, "a")
+	b.mustSubmit(tasks(1, 1000, 100*time.Millisecond))
 	b.d.Next()
 	b.now = b.now.Add(800 * time.Millisecond)
 	b.d.Tick(b.now)
 	b.ready()
 	if _, refused := b.submit(tasks(1, 1000, 100*time.Millisecond)); refused == nil || refused.Reason != ReasonBusy {
-		t.Errorf("answer %+v, want a refusal for the entry's own sake", refused)
+		t.Errorf("answer %+v, want a refusal because the entry lags", refused)
 	}
-	if !b.d.late(b.now) {
-		t.Error("the process takes itself to be on time")
+	if !b.d.behind(b.now) {
+		t.Error("the process doesn't detect its lag")
 	}
 	for range 20 {
 		b.d.Next()
-		b.wait(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 	}
-	if b.d.late(b.now) {
-		t.Error("the process takes itself to be late for ever")
+	if b.d.behind(b.now) {
+		t.Error("the process counts as lagging for ever")
 	}
 }
--- a/dispatch/dispatcher/evacuate.go
+++ b/dispatch/dispatcher/evacuate.go
@@ -7,9 +7,9 @@
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// SetEvacuations takes in which failure domains are evacuated; a list older than the one
-// known is ignored. Their workers get no more orders from now on, and the agents there
-// are told, which refuse what waits. It reports whether the domains have changed.
+// SetEvacuations applies the list of evacuated failure domains; a list that isn't newer than
+// the current one is ignored. Workers there get no more orders from now on, and their agents
+// are notified and refuse what waits. It reports whether the set of domains has changed.
 func (d *Dispatcher) SetEvacuations(now time.Time, m *pb.Evacuations) (changed bool) {
 	before := d.evacuations.Domains()
 	if !d.evacuations.Merge(m) {
@@ -18,29 +18,29 @@
 	after := d.evacuations.Domains()
 	for _, domain := range after {
 		if !slices.Contains(before, domain) {
-			d.decideEvacuation(now, "domain_evacuated", domain)
+			d.logEvacuation(now, "domain_evacuated", domain)
 			changed = true
 		}
 	}
 	for _, domain := range before {
 		if !slices.Contains(after, domain) {
-			d.decideEvacuation(now, "domain_restored", domain)
+			d.logEvacuation(now, "domain_restored", domain)
 			changed = true
 		}
 	}
-	// All agents, though nothing may have changed here: one may know of an evacuation that
-	// this entry has missed together with its end, from an entry that is gone since.
+	// All agents, though nothing may have changed here: an agent may have learned of an
+	// evacuation from an entry that has ended, while this entry missed both its begin and end.
 	for _, a := range d.agents {
-		a.tellEvacuations = true
+		a.sendEvacuations = true
 		d.touch(a)
 	}
 	return changed
 }
 
-// Evacuations are the failure domains known to be evacuated; nil: none was heard of.
+// Evacuations returns the evacuated failure domains; nil: no list was received.
 func (d *Dispatcher) Evacuations() *pb.Evacuations { return d.evacuations.Message() }
 
-func (d *Dispatcher) decideEvacuation(now time.Time, event, domain string) {
+func (d *Dispatcher) logEvacuation(now time.Time, event, domain string) {
 	agents := 0
 	for _, a := range d.agents {
 		if a.domain == domain {
--- a/dispatch/dispatcher/frames_test.go
+++ b/dispatch/dispatcher/frames_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Work waits for room while forty agents are linked. Telling each of them so, and
-// again when it no longer waits, would cost eighty messages for one task.
-func TestFewAgentsAreToldThatWorkWaits(t *testing.T) {
-	b := newBed(t)
+// Work waits for free capacity while forty agents are linked. Asking each of them for immediate
+// reports, and again to end them, would cost eighty messages for one task.
+func TestFewAgentsAreExpedited(t *testing.T) {
+	b := newFixture(t)
 	for i := range 40 {
 		b.attach(fmt.Sprintf("a%d", i), fmt.Sprintf("a%d-1", i))
 	}
-	b.wait(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	stuck := &job{queue: queue(), steps: []step{{Step: Step{Requires: "what no worker has"}}}}
 	stuck.waiting = []*task{{job: stuck}}
 	frames := 0
@@ -23,22 +23,22 @@
 	}
 	b.d.waitlist("s").jobs = []*job{stuck}
 	count()
-	if frames != eagerAgents {
-		t.Errorf("%d frames, want %d", frames, eagerAgents)
+	if frames != expediteAgents {
+		t.Errorf("%d frames, want %d", frames, expediteAgents)
 	}
-	told := frames
+	expedited := frames
 	b.d.waitlist("s").jobs = nil
 	frames = 0
 	count()
-	if frames != told {
-		t.Errorf("%d agents were told that no work waits, %d that it does", frames, told)
+	if frames != expedited {
+		t.Errorf("%d agents were asked to end immediate reports, %d to start them", frames, expedited)
 	}
 }
 
-// An agent that an input did not concern must still be noticed when it falls silent.
-func TestUntouchedAgentFallsSilent(t *testing.T) {
-	b := newBed(t, "a", "b")
-	b.wait(10 * time.Millisecond)
+// An agent that no input touched must still time out.
+func TestUntouchedAgentTimesOut(t *testing.T) {
+	b := newFixture(t, "a", "b")
+	b.advance(10 * time.Millisecond)
 	silence := b.d.opts.Link.HeartbeatTimeout
 	for range 4 {
 		b.now = b.now.Add(silence / 3)
@@ -51,23 +51,23 @@
 	}
 }
 
-// All workers are full, and jobs are refused. None waits, but the next ones come within
-// moments, and each must find the room that has come free since. When no more are refused,
-// reports come as seldom as before.
-func TestRoomIsToldAtOnceAfterARefusal(t *testing.T) {
-	b := newBed(t, "a")
+// All workers are full, and jobs are refused. None waits, but the next ones arrive soon, and
+// need the capacity released since. When no more are refused, the normal report interval
+// applies again.
+func TestReportsAreExpeditedAfterRefusal(t *testing.T) {
+	b := newFixture(t, "a")
 	a := b.agents["a-1"]
 	a.used = a.capacity
 	b.report(a)
 	if _, refused := b.submit(tasks(1, 1000, 10*time.Millisecond)); refused == nil || refused.Reason != ReasonOverload {
-		t.Fatalf("answer %+v, want a refusal for want of room", refused)
+		t.Fatalf("answer %+v, want a refusal for lack of free capacity", refused)
 	}
-	if !a.eager {
-		t.Error("the agent was not asked to tell of room at once")
+	if !a.expedite {
+		t.Error("the agent was not asked for immediate reports")
 	}
-	b.wait(eagerAfter + 50*time.Millisecond)
+	b.advance(expediteAfterRefusal + 50*time.Millisecond)
 	b.report(a)
-	if a.eager {
-		t.Error("the agent still tells of each change")
+	if a.expedite {
+		t.Error("immediate reports have not ended")
 	}
 }
--- /dev/null
+++ b/dispatch/dispatcher/handshake_test.go
@@ -0,0 +1,76 @@
+package dispatcher
+
+import (
+	"testing"
+	"time"
+
+	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+)
+
+// sendHandshake delivers an agent's handshake, even if the agent is no longer alive.
+func (b *fixture) sendHandshake(name, incarnation string, epoch uint64) {
+	b.d.LinkUp(b.now, &pb.AgentGreeting{Agent: name, Incarnation: incarnation, FailureDomain: "hall", Epoch: epoch})
+	b.ready()
+}
+
+// An agent requests a link, is killed, and another process takes its place. The first one's
+// handshake arrives after the second one is linked. The task that the first one started still
+// runs beside the second one, and must not be placed again because the old handshake doesn't
+// list it.
+func TestLateHandshakeOfEndedAgentIsIgnored(t *testing.T) {
+	b := newFixture(t, "a", "other")
+	job := tasks(1, 3000, 5*time.Second)
+	job.TimeLimit = 30 * time.Second
+	b.mustSubmit(job)
+	o := b.orders()[0]
+	at := b.holder(o)
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
+	b.d.LinkDown(b.now, at.incarnation, at.epoch)
+	second := &fakeAgent{name: at.name, incarnation: at.name + "-2", capacity: 4000, used: 3000}
+	b.agents[second.incarnation] = second
+	b.attach(second.name, second.incarnation)
+	b.sendHandshake(at.name, at.incarnation, at.epoch+1)
+	b.advance(20 * time.Millisecond)
+	if n := len(b.orders()); n != 1 {
+		t.Errorf("%d orders of one task that still runs", n)
+	}
+	if b.d.Links() != 2 {
+		t.Errorf("%d links, want those of the two live processes", b.d.Links())
+	}
+}
+
+// The first frame of the earlier process can be as late as its handshake. That handshake came
+// before the later process's, so it belongs to the process that has ended.
+func TestLateFrameOfEndedAgentIsIgnored(t *testing.T) {
+	b := newFixture(t, "other")
+	b.sendHandshake("a", "a-1", 1)
+	b.advance(10 * time.Millisecond)
+	b.attach("a", "a-2")
+	b.d.Step(b.now, "a-1", 1, &pb.WorkerFrame{Seq: 1, State: &pb.WorkerState{Worker: "w", Service: "s", Accepting: true}})
+	r := b.d.Ready(b.now)
+	if len(r.Close) != 1 || r.Close[0] != "a-1" {
+		t.Errorf("links to close %v, want that of the ended process", r.Close)
+	}
+	if b.d.Links() != 2 {
+		t.Errorf("%d links, want those of the two live processes", b.d.Links())
+	}
+}
+
+// Nothing follows an agent's handshake. Its connection must be closed in the end, and must not
+// count as a link.
+func TestLinkWithoutFrameIsClosed(t *testing.T) {
+	b := newFixture(t, "other")
+	b.sendHandshake("a", "a-1", 1)
+	if b.d.Links() != 1 {
+		t.Errorf("%d links, want that of the other agent alone", b.d.Links())
+	}
+	next := b.d.Next()
+	b.now = b.now.Add(b.d.opts.Link.HeartbeatTimeout)
+	if next.After(b.now) {
+		t.Errorf("next tick at %v, want one by %v", next, b.now)
+	}
+	b.d.Tick(b.now)
+	if r := b.d.Ready(b.now); len(r.Close) != 1 || r.Close[0] != "a-1" {
+		t.Errorf("links to close %v", r.Close)
+	}
+}
--- a/dispatch/dispatcher/invite.go
+++ b/dispatch/dispatcher/invite.go
@@ -9,11 +9,11 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// In a fleet an entry is linked to a part of the agents. What it lacks is with others:
-// workers with a label that none of its own has, or room while all of its own are taken.
-// It asks some other entries, which have agents of theirs that fit link to it for a
-// while. The job's runs are then its own like all others, so that no promise rests on a
-// third process; handing the job over would put one between the caller and its runs.
+// In a fleet an entry is linked to a subset of the agents. Other entries may have what it
+// lacks: workers with a label that none of its own has, or free capacity while its own are
+// full. It asks some of them to have suitable agents link to it for a while. The job's runs
+// are then its own like all others, so no guarantee depends on a third process; forwarding
+// the job would put one between the caller and its runs.
 
 // Want asks the driver to have other entries invite agents.
 type Want struct {
@@ -25,83 +25,83 @@
 }
 
 const (
-	// wantEvery is the least time between two questions for the same; it grows up to
-	// wantAtMost while they bring nothing: then the whole fleet is taken, and questions
-	// would only cost those that have no room to give.
-	wantEvery  = 250 * time.Millisecond
-	wantAtMost = 4 * time.Second
-	// wantAgents is how many agents each entry that is asked invites at most. With two
-	// asked, it is a tenth or two of an entry's own.
-	wantAgents = 4
-	// askWithin is how long a job is held that no known worker may run: a question and
-	// its answer, the frame to the agent and its greeting, on processors with other work.
-	askWithin = 150 * time.Millisecond
-	// maxWants bounds what is remembered of questions: labels come from callers, who may
-	// name any number of them.
-	maxWants = 64
+	// minRequestInterval is the least time between two requests for the same kind of worker.
+	// The interval grows up to maxRequestInterval while requests yield no agents: then the
+	// whole fleet is full, and requests only cost entries that have nothing to offer.
+	minRequestInterval = 250 * time.Millisecond
+	maxRequestInterval = 4 * time.Second
+	// agentsPerRequest is how many agents each entry asked may invite at most. With two
+	// entries asked, that adds a tenth or two to an entry's own agents.
+	agentsPerRequest = 4
+	// requestTimeout is how long a job that no known worker may run is held: time for a
+	// request and its reply, the frame to the agent and its handshake, on busy processors.
+	requestTimeout = 150 * time.Millisecond
+	// maxRequestKeys bounds the recorded requests: labels come from callers, who may use
+	// any number of them.
+	maxRequestKeys = 64
 )
 
-// asked is when something was asked for last.
-type asked struct {
-	at    time.Time
-	pause time.Duration // until it may be asked for again
+// requestBackoff limits how often the same kind of worker is requested.
+type requestBackoff struct {
+	last     time.Time
+	interval time.Duration // until the next request is allowed
 }
 
-// partial reports whether there are agents that have no link here by design.
-func (d *Dispatcher) partial() bool {
+// partiallyLinked reports whether some agents have no link to this entry by design.
+func (d *Dispatcher) partiallyLinked() bool {
 	return len(d.entries) > subset.Links && !d.opts.Without.Has(without.Invitations)
 }
 
-// want asks others for agents that may run a step's tasks, unless it did so a moment ago.
-func (d *Dispatcher) want(now time.Time, j *job, s *step) {
-	if !d.partial() {
+// requestAgents asks other entries for agents that may run a step's tasks, subject to backoff.
+func (d *Dispatcher) requestAgents(now time.Time, j *job, s *step) {
+	if !d.partiallyLinked() {
 		return
 	}
 	key := j.queue.Service + "/" + s.Requires
-	w := d.wants[key]
+	w := d.requests[key]
 	if w == nil {
-		if len(d.wants) >= maxWants {
-			clear(d.wants)
+		if len(d.requests) >= maxRequestKeys {
+			clear(d.requests)
 		}
-		w = &asked{}
-		d.wants[key] = w
+		w = &requestBackoff{}
+		d.requests[key] = w
 	}
-	ago := now.Sub(w.at)
-	if ago < w.pause {
+	elapsed := now.Sub(w.last)
+	if elapsed < w.interval {
 		return
 	}
-	if ago >= 2*wantAtMost {
-		w.pause = wantEvery / 2
+	if elapsed >= 2*maxRequestInterval {
+		w.interval = minRequestInterval / 2
 	}
-	w.at, w.pause = now, min(2*w.pause, wantAtMost)
-	d.ready.Wants = append(d.ready.Wants, Want{Service: j.queue.Service, Size: s.Size, Label: s.Requires, Agents: wantAgents})
+	w.last, w.interval = now, min(2*w.interval, maxRequestInterval)
+	d.ready.Wants = append(d.ready.Wants, Want{Service: j.queue.Service, Size: s.Size, Label: s.Requires, Agents: agentsPerRequest})
 	d.opts.Decided(Decision{Event: "agents_wanted", Job: j.ID, Queue: j.queue.Name, Reason: s.Requires, Waiting: len(d.agents)})
 }
 
-// Invited takes in how many agents other entries have invited.
+// Invited records how many agents other entries have invited.
 func (d *Dispatcher) Invited(w Want, agents int) {
-	if a := d.wants[w.Service+"/"+w.Label]; a != nil && agents > 0 {
-		a.pause = wantEvery
+	if a := d.requests[w.Service+"/"+w.Label]; a != nil && agents > 0 {
+		a.interval = minRequestInterval
 	}
 }
 
-// ask has others asked for workers that may run a job's steps at all, and reports
-// whether the job is to be held meanwhile.
-func (d *Dispatcher) ask(now time.Time, j *job, fits []bool) bool {
-	if !d.partial() || j.asked {
+// requestFitting asks other entries for workers that fit those steps of a job which fit no
+// known worker, and reports whether the job is to be held meanwhile.
+func (d *Dispatcher) requestFitting(now time.Time, j *job, fits []bool) bool {
+	if !d.partiallyLinked() || j.requested {
 		return false
 	}
-	j.asked, j.askedUntil = true, now.Add(askWithin)
+	j.requested, j.requestedUntil = true, now.Add(requestTimeout)
 	for i := range j.steps {
 		if !fits[i] {
-			d.want(now, j, &j.steps[i])
+			d.requestAgents(now, j, &j.steps[i])
 		}
 	}
 	return true
 }
 
-// Invite has agents that have room and may run what another entry wants link to it, and
-// returns how many.
+// Invite has agents with free capacity that may run what another entry requests link to it,
+// and returns how many.
 func (d *Dispatcher) Invite(now time.Time, address string, w Want) int {
 	invited := 0
 	n := len(d.agents)
@@ -110,7 +110,7 @@
 		if invited >= w.Agents {
 			break
 		}
-		if !d.takesOrders(a, w.Service) || a.standing != place.Open {
+		if !d.takesOrders(a, w.Service) || a.healthState != place.Open {
 			continue
 		}
 		if !a.hasLabel(w.Label) || !w.Size.FitsIn(a.free) || len(a.state.GetQueued()) > 0 {
--- a/dispatch/dispatcher/invite_test.go
+++ b/dispatch/dispatcher/invite_test.go
@@ -9,8 +9,8 @@
 	"github.com/papayahoist/papayahoist/dispatch/subset"
 )
 
-// fleet tells the entry of so many others that agents are linked to some only.
-func (b *bed) fleet() {
+// setFleet gives the entry so many others that agents link to a subset only.
+func (b *fixture) setFleet() {
 	var entries []string
 	for i := range 3 * subset.Told {
 		entries = append(entries, fmt.Sprintf("10.0.0.%d:1", i))
@@ -19,100 +19,100 @@
 	b.ready()
 }
 
-// A job needs workers of a kind of which this entry has none, though the fleet has. Said
-// to fit no worker, it would never be sent again; it is held until one of those that
+// A job needs a label that no worker of this entry has, though others in the fleet have it.
+// Refused as fitting no worker, it would never be sent again; it is held until an agent that
 // another entry has invited is linked.
-func TestJobWaitsForAWorkerOfAnotherEntry(t *testing.T) {
-	b := newBed(t, "a")
-	b.fleet()
+func TestJobWaitsForAgentOfAnotherEntry(t *testing.T) {
+	b := newFixture(t, "a")
+	b.setFleet()
 	j := tasks(1, 1000, 100*time.Millisecond)
 	j.Steps[0].Requires = "b"
-	n := b.accepted(j)
-	if len(b.wants) != 1 || b.wants[0].Label != "b" || b.wants[0].Size.CPUMillis != 1000 {
-		t.Fatalf("asks for %+v", b.wants)
+	n := b.mustSubmit(j)
+	if len(b.requests) != 1 || b.requests[0].Label != "b" || b.requests[0].Size.CPUMillis != 1000 {
+		t.Fatalf("requested %+v", b.requests)
 	}
-	b.wait(30 * time.Millisecond)
+	b.advance(30 * time.Millisecond)
 	b.agents["guest-1"] = &fakeAgent{name: "guest", incarnation: "guest-1", capacity: 4000, clean: true, labels: []string{"b"}}
 	b.attach("guest", "guest-1")
 	if len(b.agents["guest-1"].orders) != 1 {
 		t.Fatal("the invited worker got no order")
 	}
-	b.tell(b.sent()[0], 3, "", 100*time.Millisecond)
+	b.reportOrder(b.orders()[0], 3, "", 100*time.Millisecond)
 	b.wantAnswer(n, Completed, "")
 }
 
-// No entry that is asked has such a worker. The caller hears soon that nothing has run,
-// and may try again: an entry that knows a part of the workers can't say "never".
-func TestJobIsRefusedWhenNoOtherEntryHelps(t *testing.T) {
-	b := newBed(t, "a")
-	b.fleet()
+// No entry that is asked has such a worker. The caller is told soon that nothing has run, and
+// may retry: an entry that sees a subset of the workers can't refuse for good.
+func TestJobIsRefusedWithoutInvitedAgents(t *testing.T) {
+	b := newFixture(t, "a")
+	b.setFleet()
 	j := tasks(1, 1000, 100*time.Millisecond)
 	j.Steps[0].Requires = "b"
-	n := b.accepted(j)
-	b.wait(askWithin + 10*time.Millisecond)
+	n := b.mustSubmit(j)
+	b.advance(requestTimeout + 10*time.Millisecond)
 	b.wantAnswer(n, NotRun, ReasonNoWorkers)
 	if b.answers[n].Permanent {
-		t.Error("said to be of no use to try again")
+		t.Error("the answer is permanent")
 	}
 }
 
-// All of an entry's own workers are taken while others are idle: callers happen to have
-// been led to one door. It asks others for room, and seldom when they have none.
-func TestEntryWithoutRoomAsksOthers(t *testing.T) {
-	b := newBed(t, "a")
-	b.fleet()
-	b.accepted(tasks(4, 1000, 100*time.Millisecond))
-	if len(b.wants) > 0 {
-		t.Fatalf("asks with room of its own: %+v", b.wants)
+// All of an entry's own workers are full while others are idle, because callers happen to use
+// this entry. It asks other entries for agents, and rarely while they have none to offer.
+func TestFullEntryRequestsAgents(t *testing.T) {
+	b := newFixture(t, "a")
+	b.setFleet()
+	b.mustSubmit(tasks(4, 1000, 100*time.Millisecond))
+	if len(b.requests) > 0 {
+		t.Fatalf("requested agents with free capacity of its own: %+v", b.requests)
 	}
 	for range 40 {
 		b.submit(tasks(1, 1000, 100*time.Millisecond))
-		b.wait(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 		b.report(b.agents["a-1"])
 	}
-	if n := len(b.wants); n < 3 || n > 6 {
-		t.Errorf("asked %d times in 4 s in which nobody had room, want a few", n)
+	if n := len(b.requests); n < 3 || n > 6 {
+		t.Errorf("%d requests in 4 s without free capacity elsewhere, want a few", n)
 	}
-	before := len(b.wants)
+	before := len(b.requests)
 	for range 20 {
-		b.d.Invited(b.wants[0], 2)
+		b.d.Invited(b.requests[0], 2)
 		b.submit(tasks(1, 1000, 100*time.Millisecond))
-		b.wait(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 	}
-	if n := len(b.wants) - before; n < 4 {
-		t.Errorf("asked %d times in 2 s while others have room, want several", n)
+	if n := len(b.requests) - before; n < 4 {
+		t.Errorf("%d requests in 2 s with free capacity elsewhere, want several", n)
 	}
 }
 
-// A site of a few entries is a full mesh: what its entries can't do nobody can.
-func TestEntryOfASmallSiteAsksNobody(t *testing.T) {
-	b := newBed(t, "a")
+// A site of a few entries is a full mesh, so other entries have no further agents.
+func TestEntryOfSmallSiteRequestsNoAgents(t *testing.T) {
+	b := newFixture(t, "a")
 	j := tasks(1, 1000, 100*time.Millisecond)
 	j.Steps[0].Requires = "b"
-	if _, refused := b.submit(j); refused == nil || !refused.Permanent || len(b.wants) > 0 {
-		t.Errorf("%+v, asked for %v", refused, b.wants)
+	if _, refused := b.submit(j); refused == nil || !refused.Permanent || len(b.requests) > 0 {
+		t.Errorf("answer %+v, requested %v", refused, b.requests)
 	}
 }
 
-// A caller sends jobs with ever new labels that no worker has. What the entry remembers of
-// its questions must not grow with them.
-func TestQuestionsAreBounded(t *testing.T) {
-	b := newBed(t, "a")
-	b.fleet()
-	for i := range 10 * maxWants {
+// A caller sends jobs with ever new labels that no worker has. The recorded requests must stay
+// bounded.
+func TestRecordedRequestsAreBounded(t *testing.T) {
+	b := newFixture(t, "a")
+	b.setFleet()
+	for i := range 10 * maxRequestKeys {
 		j := tasks(1, 1000, 100*time.Millisecond)
 		j.Steps[0].Requires = fmt.Sprint("label-", i)
 		b.submit(j)
 	}
-	if n := len(b.d.wants); n > maxWants {
-		t.Errorf("%d questions are remembered, want at most %d", n, maxWants)
+	if n := len(b.d.requests); n > maxRequestKeys {
+		t.Errorf("%d requests are recorded, want at most %d", n, maxRequestKeys)
 	}
 }
 
-// Another entry asks for workers. Those that are taken, or lack the label, must not be
-// sent to it: it would get orders refused for its trouble.
-func TestOnlyAgentsWithRoomAreInvited(t *testing.T) {
-	b := newBed(t, "a", "b", "c")
+// Another entry requests workers. Those that are full or lack the label must not be invited:
+// they would only refuse its orders.
+func TestOnlyAgentsWithFreeCapacityAreInvited(t *testing.T) {
+	b := newFixture(t, "a", "b", "c")
 	for name, labels := range map[string][]string{"a-1": {"x"}, "b-1": {"x"}, "c-1": nil} {
 		b.agents[name].labels = labels
 		b.report(b.agents[name])
@@ -124,30 +124,30 @@
 	}
 	b.ready()
 	if got := b.agents["b-1"].invitedBy; len(got) != 1 || got[0] != "10.0.0.9:1" {
-		t.Errorf("the agent with room was invited by %v", got)
+		t.Errorf("the agent with free capacity was invited by %v", got)
 	}
 }
 
-// Entries come and go all day in a fleet. An agent is told when those that it chooses
-// among change, and of no more than these.
-func TestAgentsAreToldWhatConcernsThem(t *testing.T) {
-	b := newBed(t, "a")
-	b.fleet()
+// Entries come and go frequently in a fleet. An agent is notified only of the entries among
+// which it chooses, and only when these change.
+func TestAgentsAreNotifiedOfRelevantEntries(t *testing.T) {
+	b := newFixture(t, "a")
+	b.setFleet()
 	a := b.agents["a-1"]
 	if len(a.entries) != subset.Told {
-		t.Fatalf("told %d entries, want %d", len(a.entries), subset.Told)
+		t.Fatalf("notified of %d entries, want %d", len(a.entries), subset.Told)
 	}
-	told := a.entries
+	first := a.entries
 	ranked := subset.Rank("a", b.d.entries)
 	a.entries = nil
 	b.d.SetEntries(ranked[:len(ranked)-1])
 	b.ready()
 	if a.entries != nil {
-		t.Errorf("told %v when an entry went that it would not choose", a.entries)
+		t.Errorf("notified of %v after the loss of an entry that it would not choose", a.entries)
 	}
 	b.d.SetEntries(ranked[1:])
 	b.ready()
-	if len(a.entries) != subset.Told || a.entries[0] == told[0] {
-		t.Errorf("told %v when the first one went", a.entries)
+	if len(a.entries) != subset.Told || a.entries[0] == first[0] {
+		t.Errorf("notified of %v after the loss of its first choice", a.entries)
 	}
 }
--- a/dispatch/dispatcher/jobs.go
+++ b/dispatch/dispatcher/jobs.go
@@ -11,40 +11,40 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// Job is what a caller asks for.
+// Job is a caller's request.
 type Job struct {
 	ID    string
 	Queue *pb.Queue
-	// Version of the configuration that the queue was found in.
+	// Version of the configuration in which the queue was found.
 	Version uint64
 	Payload string
 	Steps   []Step
-	// TimeLimit is how long the caller waits; zero: as long as the queue says. The
-	// queue's own limit doesn't cut it: a task that lasts longer still has an answer
-	// that the caller waits for.
+	// TimeLimit is how long the caller waits; zero: the queue's limit. It may exceed the
+	// queue's limit: a task that runs longer still has an answer for which the caller
+	// waits.
 	TimeLimit time.Duration
-	// Unsupported names what the job asks for and this product can't do.
+	// Unsupported names a feature that the job asks for and this product lacks.
 	Unsupported string
 }
 
-// Step is tasks of a job that are alike.
+// Step is a set of similar tasks of a job.
 type Step struct {
 	Count     int
 	Size      size.Size
 	Estimated time.Duration
-	// After are the steps that must have ended before.
+	// After lists the steps that must have ended before.
 	After []int
-	// Rack is where the tasks' data is; elsewhere they take longer.
+	// Rack holds the tasks' data; elsewhere they take longer.
 	Rack string
-	// Requires is a label that a worker must have.
+	// Requires is a label that a worker must have; empty: any worker.
 	Requires string
-	// MaxPerWorker bounds the step's tasks at one worker; zero: no bound.
+	// MaxPerWorker limits the step's concurrent tasks at one worker; zero: no limit.
 	MaxPerWorker int
 }
 
 // Limits of a job.
 const (
-	// MaxSteps and MaxTasks bound what one job may hold in memory.
+	// MaxSteps and MaxTasks bound the memory that one job may take.
 	MaxSteps = 64
 	MaxTasks = 4096
 )
@@ -54,46 +54,46 @@
 	number   uint64
 	queue    *pb.Queue
 	arrived  time.Time
-	holdEnd  time.Time // refused when nothing has been sent by then
+	placeBy  time.Time // refused unless an order has been sent by then
 	deadline time.Time
-	// useful is until when an answer is of use to the caller.
-	useful time.Time
-	// patience is how long an order waits at one worker.
-	patience time.Duration
-	// late: it was taken in though it ends after its objective.
+	// usefulUntil is the time after which an answer is of no use to the caller.
+	usefulUntil time.Time
+	// minOrderWait is how long an order may always wait at one worker.
+	minOrderWait time.Duration
+	// late: admitted although it is expected to miss its objective.
 	late bool
-	// meeting: it came before the agents were met, or others are asked for workers that
-	// may run it, and it is decided on when this is over.
-	meeting bool
-	// asked: other entries were asked for workers that may run it, until askedUntil.
-	asked      bool
-	askedUntil time.Time
-	// objective is when it should have ended, and startBy when its longest chain must
+	// held: it arrived before the agents completed their handshakes, or other entries
+	// were asked for workers that fit, and it is admitted or refused afterwards.
+	held bool
+	// requested: other entries were asked for workers that fit, until requestedUntil.
+	requested      bool
+	requestedUntil time.Time
+	// objective is when it should have ended, and startBy when its critical path must
 	// begin for that.
 	objective time.Time
 	startBy   time.Time
-	// longest is the expected time of its longest chain.
-	longest time.Duration
-	dueAt   time.Time
-	heapPos int
-
-	steps   []step
-	open    int // tasks not ended
-	waiting []*task
-	orders  []*order // that have not ended
-	ordered bool     // some order has left this process and was not refused
-	started bool     // some task has started
-	ended   bool
-	listed  bool // in its service's waitlist
-	// before is an earlier attempt at the same job whose runs have not ended.
-	before *job
-	// next is the attempt that waits for this one's runs.
+	// criticalPath is the expected time of its longest chain of steps.
+	criticalPath time.Duration
+	dueAt        time.Time
+	heapPos      int
+
+	steps     []step
+	openTasks int // tasks not ended
+	waiting   []*task
+	orders    []*order // not ended
+	ordered   bool     // some order has left this process and was not refused
+	started   bool     // some task has started
+	ended     bool
+	queued    bool // in its service's waitlist
+	// previous is an earlier attempt at the same job whose runs have not ended.
+	previous *job
+	// next is the attempt that waits for this one's runs to end.
 	next *job
-	// highestRun is the highest run number given to any of its tasks.
+	// highestRun is the highest run number used for any of its tasks.
 	highestRun uint32
 }
 
-// Before implements indexheap.Item: the job that is due next goes first.
+// Before implements indexheap.Item: the job with the earliest timer comes first.
 func (j *job) Before(o *job) bool { return j.dueAt.Before(o.dueAt) }
 
 // SetPos implements indexheap.Item.
@@ -101,26 +101,26 @@
 
 type step struct {
 	Step
-	open    int
-	blocked int // steps that it waits for
-	expect  time.Duration
-	tail    time.Duration // expected time of the longest chain that begins with it
-	// observed is the shortest run of a task of the step; zero: none has ended.
-	observed time.Duration
+	openTasks int
+	blocked   int // number of unfinished steps it depends on
+	expected  time.Duration
+	chainTime time.Duration // expected time of the longest chain that begins with it
+	// shortestRun is the shortest run of a task of the step; zero: none has ended.
+	shortestRun time.Duration
 }
 
 type task struct {
 	job      *job
 	step     int
 	index    int
-	runs     uint32
+	lastRun  uint32
 	failures int
 	done     bool
-	// firstSent is when it was first ordered, and foretold how long it was to wait then.
-	firstSent time.Time
-	foretold  time.Duration
-	// avoid are agents where the task failed, stalled or was refused for a reason
-	// that stays.
+	// firstOrderedAt is when it was first ordered, and predictedWait its predicted wait then.
+	firstOrderedAt time.Time
+	predictedWait  time.Duration
+	// avoid lists agents where the task failed, stalled or was refused for a lasting
+	// reason.
 	avoid []*agent
 }
 
@@ -130,17 +130,17 @@
 
 const defaultTimeout = 30 * time.Second
 
-// Submit takes in a job. The answer is set if it is refused at once. A job that is
-// here already is joined: starting it anew would run its tasks twice at a time.
+// Submit admits or refuses a job; the answer is set if it is refused at once. A job that
+// is already open is joined: starting it again would run its tasks twice at a time.
 func (d *Dispatcher) Submit(now time.Time, in Job) (number uint64, refused *Answer) {
-	if j := d.byID[idKey(in.Queue.Name, in.ID)]; j != nil {
+	if j := d.byID[jobKey(in.Queue.Name, in.ID)]; j != nil {
 		return j.number, nil
 	}
-	d.begin(now)
-	d.number++
-	j := &job{Job: in, number: d.number, queue: in.Queue, arrived: now}
+	d.recordFirstInput(now)
+	d.lastJob++
+	j := &job{Job: in, number: d.lastJob, queue: in.Queue, arrived: now}
 	longest := d.plan(j)
-	j.longest = longest
+	j.criticalPath = longest
 	limit := cmp.Or(time.Duration(in.Queue.TimeoutMs)*time.Millisecond, defaultTimeout)
 	if in.TimeLimit > 0 {
 		limit = in.TimeLimit
@@ -148,77 +148,77 @@
 	objective := time.Duration(in.Queue.TargetMs)*time.Millisecond + time.Duration(in.Queue.Stretch*float64(longest))
 	objective = min(objective, limit)
 	j.deadline = now.Add(limit)
-	d.cutShort(j)
+	d.capDeadline(j)
 	j.objective = now.Add(objective)
-	j.useful = link.Earlier(now.Add(usefulFactor*objective), j.deadline)
-	j.holdEnd = j.useful.Add(-longest)
-	j.patience = time.Duration(patiencePart * float64(objective))
+	j.usefulUntil = link.Earlier(now.Add(usefulFactor*objective), j.deadline)
+	j.placeBy = j.usefulUntil.Add(-longest)
+	j.minOrderWait = time.Duration(minOrderWaitShare * float64(objective))
 	j.startBy = j.objective.Add(-longest)
-	j.before = d.ending[idKey(in.Queue.Name, in.ID)]
+	j.previous = d.ending[jobKey(in.Queue.Name, in.ID)]
 	a := d.refusal(now, j)
 	var chosen []placement
-	if a == nil && j.before == nil {
+	if a == nil && j.previous == nil {
 		chosen, a = d.admitOrHold(now, j)
 	}
 	if a != nil {
 		a.Number = j.number
-		d.decideAnswer(now, j, *a)
+		d.logAnswer(now, j, *a)
 		return j.number, a
 	}
-	if j.before != nil {
-		j.before.next = j
+	if j.previous != nil {
+		j.previous.next = j
 	}
 	d.jobs[j.number] = j
-	d.byID[idKey(in.Queue.Name, in.ID)] = j
-	j.dueAt = j.holdEnd
-	if j.meeting {
-		j.dueAt = link.Earlier(j.holdEnd, d.decideBy(j))
+	d.byID[jobKey(in.Queue.Name, in.ID)] = j
+	j.dueAt = j.placeBy
+	if j.held {
+		j.dueAt = link.Earlier(j.placeBy, d.admitBy(j))
 	}
-	d.due.Push(j)
+	d.jobTimers.Push(j)
 	d.sendChosen(now, chosen)
-	d.list(j)
+	d.enqueue(j)
 	return j.number, nil
 }
 
-func idKey(queue, id string) string { return queue + "/" + id }
+func jobKey(queue, id string) string { return queue + "/" + id }
 
-// plan fills in the steps and returns the expected time of the longest chain.
+// plan initializes the steps and returns the expected time of the critical path.
 func (d *Dispatcher) plan(j *job) time.Duration {
 	j.steps = make([]step, len(j.Steps))
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
 	for i, s := range j.Steps {
-		j.steps[i] = step{Step: s, open: s.Count, blocked: len(s.After), expect: d.expected(j.queue.Name, s.Estimated)}
-		j.open += s.Count
+		j.steps[i] = step{Step: s, openTasks: s.Count, blocked: len(s.After), expected: d.expectedRun(j.queue.Name, s.Estimated)}
+		j.openTasks += s.Count
 		for _, before := range s.After {
 			ends[i] = max(ends[i], ends[before])
 		}
-		ends[i] += j.steps[i].expect
+		ends[i] += j.steps[i].expected
 		longest = max(longest, ends[i])
 	}
 	for i := len(j.steps) - 1; i >= 0; i-- {
 		s := &j.steps[i]
-		s.tail += s.expect
+		s.chainTime += s.expected
 		for _, before := range s.After {
-			j.steps[before].tail = max(j.steps[before].tail, s.tail)
+			j.steps[before].chainTime = max(j.steps[before].chainTime, s.chainTime)
 		}
 	}
 	return longest
 }
 
 // startBy is when a task must start for its job to end within its objective.
-func (t *task) startBy() time.Time { return t.job.objective.Add(-t.job.steps[t.step].tail) }
+func (t *task) startBy() time.Time { return t.job.objective.Add(-t.job.steps[t.step].chainTime) }
 
 // latestStart is when a task must start for its job's answer to be of use.
-func (t *task) latestStart() time.Time { return t.job.useful.Add(-t.job.steps[t.step].tail) }
+func (t *task) latestStart() time.Time { return t.job.usefulUntil.Add(-t.job.steps[t.step].chainTime) }
 
-// release makes the tasks of steps that wait for nothing more eligible.
+// release makes the tasks of unblocked steps eligible for placement.
 func (d *Dispatcher) release(j *job) {
 	d.unblock(j)
-	d.list(j)
+	d.enqueue(j)
 }
 
-// unblock moves the tasks of steps that wait for nothing to the waiting ones.
+// unblock appends the tasks of steps without unfinished dependencies to the waiting ones.
 func (d *Dispatcher) unblock(j *job) {
 	for i := range j.steps {
 		s := &j.steps[i]
@@ -232,28 +232,28 @@
 	}
 }
 
-// jobDue takes in that a job has waited as long as it may, or reached its deadline.
-func (d *Dispatcher) jobDue(now time.Time, j *job) {
+// handleJobTimer handles a job that has waited as long as it may, or reached its deadline.
+func (d *Dispatcher) handleJobTimer(now time.Time, j *job) {
 	switch {
 	case !now.Before(j.deadline):
-		d.giveUp(now, j, d.overdue(j))
-	case j.meeting && !j.ordered:
-		d.decideMet(now, j)
+		d.abandon(now, j, d.deadlineReason(j))
+	case j.held && !j.ordered:
+		d.admitHeld(now, j)
 	case !j.ordered:
-		d.giveUp(now, j, ReasonHeld)
+		d.abandon(now, j, ReasonHeld)
 	default:
-		d.setDue(j, j.deadline)
+		d.resetJobTimer(j, j.deadline)
 	}
 }
 
-func (d *Dispatcher) setDue(j *job, at time.Time) {
+func (d *Dispatcher) resetJobTimer(j *job, at time.Time) {
 	j.dueAt = at
-	d.due.Fix(j.heapPos)
+	d.jobTimers.Fix(j.heapPos)
 }
 
-// giveUp ends a job that can't be completed. "Not run" is said when no order is
-// out that could start, or has started, one of its tasks.
-func (d *Dispatcher) giveUp(now time.Time, j *job, reason string) {
+// abandon ends a job that can't be completed. The answer is NotRun if nothing has started
+// and no live order could still start one of its tasks.
+func (d *Dispatcher) abandon(now time.Time, j *job, reason string) {
 	a := Answer{Outcome: Unknown, Reason: reason}
 	if !j.started && !j.hasOrders() {
 		a.Outcome = NotRun
@@ -272,62 +272,62 @@
 
 func (j *job) hasOrders() bool { return len(j.orders) > 0 }
 
-// answer ends a job: what waits is dropped, what runs is stopped.
+// answer ends a job: waiting tasks are dropped and runs are stopped.
 func (d *Dispatcher) answer(now time.Time, j *job, a Answer) {
 	if j.late {
-		d.lateYield.take(now, a.Outcome == Completed)
+		d.lateCompletion.observe(now, a.Outcome == Completed)
 	}
 	a.Number = j.number
 	d.endJob(now, j)
 	d.ready.Answers = append(d.ready.Answers, a)
-	d.decideAnswer(now, j, a)
+	d.logAnswer(now, j, a)
 }
 
-func (d *Dispatcher) decideAnswer(now time.Time, j *job, a Answer) {
+func (d *Dispatcher) logAnswer(now time.Time, j *job, a Answer) {
 	d.opts.Decided(Decision{
 		Event: "job_answered", Job: j.ID, Queue: j.queue.Name, Version: j.Version, Outcome: a.Outcome.String(),
-		Reason: a.Reason, Elapsed: now.Sub(j.arrived), Waiting: len(j.waiting), Retry: a.RetryAfter, Tasks: j.tasks(), Longest: j.longest,
+		Reason: a.Reason, Elapsed: now.Sub(j.arrived), Waiting: len(j.waiting), Retry: a.RetryAfter, Tasks: j.tasks(), Longest: j.criticalPath,
 		Limit: j.deadline.Sub(j.arrived), Objective: j.objective.Sub(j.arrived),
 	})
 }
 
 func (d *Dispatcher) endJob(now time.Time, j *job) {
 	j.ended = true
-	d.unlist(j)
+	d.dequeue(j)
 	for _, o := range slices.Clone(j.orders) {
-		d.stop(o)
+		d.stopOrder(o)
 	}
 	if len(j.orders) > 0 {
-		d.ending[idKey(j.queue.Name, j.ID)] = j
+		d.ending[jobKey(j.queue.Name, j.ID)] = j
 	}
-	if j.before != nil && j.before.next == j {
-		j.before.next = nil
+	if j.previous != nil && j.previous.next == j {
+		j.previous.next = nil
 	}
-	d.due.Remove(j.heapPos)
+	d.jobTimers.Remove(j.heapPos)
 	delete(d.jobs, j.number)
-	if key := idKey(j.queue.Name, j.ID); d.byID[key] == j {
+	if key := jobKey(j.queue.Name, j.ID); d.byID[key] == j {
 		delete(d.byID, key)
 	}
 }
 
-// settled takes in that the last run of an ended job has ended: the next attempt at
-// it may begin, with run numbers above those used.
-func (d *Dispatcher) settled(j *job) {
-	if key := idKey(j.queue.Name, j.ID); d.ending[key] == j {
+// handleSettled records that the last run of an answered job has ended: the next attempt
+// may begin, with higher run numbers.
+func (d *Dispatcher) handleSettled(j *job) {
+	if key := jobKey(j.queue.Name, j.ID); d.ending[key] == j {
 		delete(d.ending, key)
 	}
 	next := j.next
 	if next == nil || next.ended {
 		return
 	}
-	next.before = nil
+	next.previous = nil
 	for _, t := range next.waiting {
-		t.runs = max(t.runs, j.highestRun)
+		t.lastRun = max(t.lastRun, j.highestRun)
 	}
-	d.list(next)
+	d.enqueue(next)
 }
 
-// CallerGone takes in that nobody waits for the answer any more.
+// CallerGone ends a job whose caller no longer waits for the answer.
 func (d *Dispatcher) CallerGone(now time.Time, number uint64) {
 	if j := d.jobs[number]; j != nil {
 		d.endJob(now, j)
@@ -335,9 +335,9 @@
 	}
 }
 
-// Cancel ends the job of the id in a queue. False: it is not here.
+// Cancel ends the job with the id in a queue. It returns false if there is no such job.
 func (d *Dispatcher) Cancel(now time.Time, queue, id string) bool {
-	j := d.byID[idKey(queue, id)]
+	j := d.byID[jobKey(queue, id)]
 	if j == nil {
 		return false
 	}
@@ -349,27 +349,27 @@
 	return true
 }
 
-// State says whether a job of the id is here, and whether it has started.
+// State reports whether the job with the id is open here, and whether it has started.
 func (d *Dispatcher) State(queue, id string) (known, started bool) {
-	j := d.byID[idKey(queue, id)]
+	j := d.byID[jobKey(queue, id)]
 	return j != nil, j != nil && j.started
 }
 
-// taskDone takes in that a task has ended well.
+// taskDone records that a task has succeeded.
 func (d *Dispatcher) taskDone(now time.Time, t *task) {
 	j := t.job
 	if t.done || j.ended {
 		return
 	}
 	t.done = true
-	j.open--
+	j.openTasks--
 	s := &j.steps[t.step]
-	s.open--
-	if j.open == 0 {
+	s.openTasks--
+	if j.openTasks == 0 {
 		d.answer(now, j, Answer{Outcome: Completed})
 		return
 	}
-	if s.open > 0 {
+	if s.openTasks > 0 {
 		return
 	}
 	for i := range j.steps {
@@ -382,7 +382,7 @@
 	d.release(j)
 }
 
-// taskFailed takes in that a run ended through its own or its worker's fault.
+// taskFailed handles a run that failed through its own or its worker's fault.
 func (d *Dispatcher) taskFailed(now time.Time, t *task, at *agent) {
 	j := t.job
 	t.failures++
@@ -397,13 +397,13 @@
 	d.requeue(j, t)
 }
 
-// requeue puts a task back that has no order.
+// requeue appends a task without a live order to the waiting ones.
 func (d *Dispatcher) requeue(j *job, t *task) {
 	if j.ended || t.done {
 		return
 	}
 	j.waiting = append(j.waiting, t)
-	d.list(j)
+	d.enqueue(j)
 }
 
 func utoa(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/dispatch/dispatcher/lag.go
+++ b/dispatch/dispatcher/lag.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// lagMeter measures by how much the process is behind: how late its timer fires. A
-// process without enough processor takes in what has arrived late, and would take
-// links for silent whose frames wait in its own sockets, and jobs that it can't place
-// before their time is over.
+// lagMeter measures the lag of the process: how late its timer fires. A process
+// without enough CPU handles arrived frames late. It would time out links whose
+// frames wait in its own sockets, and admit jobs that it can't place in time.
 type lagMeter struct {
 	lag time.Duration // decayed maximum
 	at  time.Time
 }
 
 const (
-	// lagEvery is how often the meter asks for a tick.
-	lagEvery = 100 * time.Millisecond
-	// lagHalf is the time in which what was measured loses half of its weight.
-	lagHalf = 200 * time.Millisecond
-	// lateLag is the lag beyond which the process mistrusts its own view of others.
-	lateLag = 60 * time.Millisecond
+	// lagInterval is how often the meter requests a tick.
+	lagInterval = 100 * time.Millisecond
+	// lagHalfLife is the time in which a sample loses half of its weight.
+	lagHalfLife = 200 * time.Millisecond
+	// maxTrustedLag is the lag beyond which the process mistrusts its own view of others.
+	maxTrustedLag = 60 * time.Millisecond
 )
 
-func (m *lagMeter) now(now time.Time) time.Duration {
+func (m *lagMeter) value(now time.Time) time.Duration {
 	if m.at.IsZero() {
 		return 0
 	}
-	halves := float64(now.Sub(m.at)) / float64(lagHalf)
-	return time.Duration(float64(m.lag) / (1 + halves*halves))
+	halfLives := float64(now.Sub(m.at)) / float64(lagHalfLife)
+	return time.Duration(float64(m.lag) / (1 + halfLives*halfLives))
 }
 
-func (m *lagMeter) take(now time.Time, lag time.Duration) {
-	if lag >= m.now(now) || now.Sub(m.at) >= lagEvery {
-		m.lag, m.at = max(lag, m.now(now)), now
+func (m *lagMeter) observe(now time.Time, lag time.Duration) {
+	if lag >= m.value(now) || now.Sub(m.at) >= lagInterval {
+		m.lag, m.at = max(lag, m.value(now)), now
 	}
 }
 
-func (m *lagMeter) next() time.Time {
+func (m *lagMeter) nextSample() time.Time {
 	if m.at.IsZero() {
 		return time.Time{}
 	}
-	return m.at.Add(lagEvery)
+	return m.at.Add(lagInterval)
 }
 
-// arrivedLate takes in that an order reached an agent later than it may be started. When
-// another agent said so a moment ago, it isn't the way to one of them: this process's
-// frames wait for its processor. Its timers may fire in time all the same.
+// recordStaleOrder handles an order that reached an agent too late to be started. When
+// another agent refused one for the same reason recently, the cause isn't the path to one
+// agent: this process's frames wait for CPU, even if its timers fire in time.
 //
-// A small entry that takes in more than its processor can send has its orders refused as late
-// and its links taken for silent.
-func (d *Dispatcher) arrivedLate(now time.Time, at *agent) {
-	if d.lateAt != nil && d.lateAt != at && now.Sub(d.lateSince) < lateTogether {
-		d.lag.take(now, d.opts.Times.MaxLate)
+// Otherwise a small entry that admits more than its CPU can send has its orders refused as
+// stale and its links timed out.
+func (d *Dispatcher) recordStaleOrder(now time.Time, at *agent) {
+	if d.staleAgent != nil && d.staleAgent != at && now.Sub(d.staleAt) < staleCorrelationWindow {
+		d.timerLag.observe(now, d.opts.Times.MaxLate)
 	}
-	d.lateAt, d.lateSince = at, now
+	d.staleAgent, d.staleAt = at, now
 }
 
-// lateTogether is how close to each other late orders at two agents have one cause.
-const lateTogether = 500 * time.Millisecond
+// staleCorrelationWindow is the interval within which stale orders at two agents are
+// attributed to one cause.
+const staleCorrelationWindow = 500 * time.Millisecond
 
-// late reports whether the process is behind.
-func (d *Dispatcher) late(now time.Time) bool { return d.lag.now(now) > lateLag }
+// behind reports whether the process lags.
+func (d *Dispatcher) behind(now time.Time) bool { return d.timerLag.value(now) > maxTrustedLag }
--- a/dispatch/dispatcher/late.go
+++ b/dispatch/dispatcher/late.go
@@ -7,52 +7,53 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// Late work is that of jobs which can't end within their objective and whose answer is of
-// use all the same. It goes behind all that can be in time.
+// Late work belongs to jobs that can't end within their objective but whose answers are
+// still of use. It yields to all work that can meet its objective.
 
-// yield is the share of late work that lately was completed.
-type yield struct {
-	share float64
-	at    time.Time // of the last job; zero: none yet
+// completionRatio is the share of late jobs that were completed recently.
+type completionRatio struct {
+	ratio     float64
+	updatedAt time.Time // when the last job ended; zero: none yet
 }
 
 const (
-	// yieldGain is the weight of the last job: about the last seven count.
-	yieldGain = 0.3
-	// yieldForgets is the time in which what was seen loses two thirds of its weight;
-	// then late work is tried again.
-	yieldForgets = 3 * time.Second
-	// leastYield is the share below which late work isn't taken in: callers would be
-	// held for no answer, and workers do what is then broken off.
-	leastYield = 0.8
+	// completionGain is the weight of the last job: about the last seven count.
+	completionGain = 0.3
+	// completionDecay is the time in which a sample loses two thirds of its weight; late
+	// work is then tried again.
+	completionDecay = 3 * time.Second
+	// minLateCompletion is the ratio below which late work isn't admitted: callers would
+	// wait for no answer, and workers would run tasks that are then stopped.
+	minLateCompletion = 0.8
 )
 
-func (y *yield) now(now time.Time) float64 {
-	if y.at.IsZero() {
+func (r *completionRatio) value(now time.Time) float64 {
+	if r.updatedAt.IsZero() {
 		return 1
 	}
-	return 1 - (1-y.share)*math.Exp(-now.Sub(y.at).Seconds()/yieldForgets.Seconds())
+	return 1 - (1-r.ratio)*math.Exp(-now.Sub(r.updatedAt).Seconds()/completionDecay.Seconds())
 }
 
-func (y *yield) take(now time.Time, completed bool) {
-	share := y.now(now) * (1 - yieldGain)
+func (r *completionRatio) observe(now time.Time, completed bool) {
+	ratio := r.value(now) * (1 - completionGain)
 	if completed {
-		share += yieldGain
+		ratio += completionGain
 	}
-	y.share, y.at = share, now
+	r.ratio, r.updatedAt = ratio, now
 }
 
-// takesLate reports whether jobs are taken in that can't be in time.
+// admitsLate reports whether jobs are admitted that can't meet their objective.
 //
-// Only while late work gets done: behind a lasting overload it would be held to the end of its
-// use and given up half done. And only while work starts when it was foretold: otherwise it
-// takes the room that the next jobs need to be in time.
-func (d *Dispatcher) takesLate(now time.Time) bool {
+// They are admitted only while most late work is completed: under a lasting overload it would
+// be held until its answer is of no use and be abandoned half done. They are also admitted only
+// while work starts as predicted: otherwise they take capacity that the next jobs need to meet
+// their objectives.
+func (d *Dispatcher) admitsLate(now time.Time) bool {
 	if d.opts.Without.Has(without.LateWork) {
 		return false
 	}
 	if d.opts.Without.Has(without.LateYield) {
 		return true
 	}
-	return d.inTime(now) && d.lateYield.now(now) >= leastYield
+	return d.startsAsPredicted(now) && d.lateCompletion.value(now) >= minLateCompletion
 }
--- a/dispatch/dispatcher/learn.go
+++ b/dispatch/dispatcher/learn.go
@@ -7,110 +7,110 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// learned is how long tasks of a queue run, against their estimates. An estimate is
-// off by a factor either way, so of a task with a long one the better guess lies
-// between it and what is usual in the queue: a regression of the logarithm of the
-// run time on that of the estimate, in which older runs count less and less.
-type learned struct {
-	weight float64 // of all runs taken in, at most 1/learnGain
-	// means of the logarithms of estimate and run time in seconds, their products
+// runTimeModel predicts the run times of a queue's tasks from their estimates. An estimate
+// is off by a factor either way, so for a task with a long one the better prediction lies
+// between it and the queue's typical run time: a regression of the logarithm of the run
+// time on that of the estimate, in which older runs are discounted.
+type runTimeModel struct {
+	weight float64 // of all runs recorded, at most 1/modelGain
+	// Means of the logarithms of estimate and run time in seconds, and of their products
 	// about the means.
 	x, y, xx, xy, yy float64
 }
 
 const (
-	// learnGain is the weight of a new run against all before: about the last two
+	// modelGain is the weight of a new run against all earlier ones: about the last two
 	// hundred count, some seconds of a busy queue and a minute of a quiet one.
-	learnGain = 0.005
-	// priorWeight is how many runs the assumption counts for with which a queue
-	// begins: that estimates are right.
+	modelGain = 0.005
+	// priorWeight is the weight, in runs, of the prior assumption that estimates are
+	// right.
 	priorWeight = 5
-	// priorSpread is the spread of the logarithm of the run time about the estimate
-	// before anything is known: a factor of one and a half either way.
+	// priorSpread is the prior standard deviation of the logarithm of the run time about
+	// the estimate: a factor of one and a half either way.
 	priorSpread = 0.4
-	// sureSpreads is how many spreads below the expected a run time is taken to lie
-	// at least: of a hundred tasks, five run shorter.
-	sureSpreads = 1.65
-	// firstEstimate stands for a task without estimate of a queue that has run
-	// nothing: a usual sub-second task.
-	firstEstimate = 200 * time.Millisecond
-	minExpected   = time.Millisecond
+	// lowerBoundSpreads is how many standard deviations below the expected run time the
+	// lower bound lies: five of a hundred tasks run shorter.
+	lowerBoundSpreads = 1.65
+	// defaultEstimate is used for a task without estimate in a queue without runs:
+	// a typical sub-second task.
+	defaultEstimate = 200 * time.Millisecond
+	minExpected     = time.Millisecond
 )
 
-// take takes in one run.
-func (l *learned) take(estimated, ran time.Duration) {
+// observe records one run.
+func (m *runTimeModel) observe(estimated, ran time.Duration) {
 	x, y := logSeconds(estimated), logSeconds(ran)
-	l.weight = min(l.weight+1, 1/learnGain)
-	gain := 1 / l.weight
-	dx, dy := x-l.x, y-l.y
-	l.x += gain * dx
-	l.y += gain * dy
-	l.xx += gain * ((1-gain)*dx*dx - l.xx)
-	l.xy += gain * ((1-gain)*dx*dy - l.xy)
-	l.yy += gain * ((1-gain)*dy*dy - l.yy)
+	m.weight = min(m.weight+1, 1/modelGain)
+	gain := 1 / m.weight
+	dx, dy := x-m.x, y-m.y
+	m.x += gain * dx
+	m.y += gain * dy
+	m.xx += gain * ((1-gain)*dx*dx - m.xx)
+	m.xy += gain * ((1-gain)*dx*dy - m.xy)
+	m.yy += gain * ((1-gain)*dy*dy - m.yy)
 }
 
-// line is the slope of the regression. The assumption that estimates are right
-// weighs in with a spread of its own.
-func (l *learned) slope() float64 {
+// slope returns the slope of the regression. The prior that estimates are right enters with
+// its own spread.
+func (m *runTimeModel) slope() float64 {
 	prior := priorWeight * priorSpread * priorSpread
-	return min(max((l.weight*l.xy+prior)/(l.weight*l.xx+prior), 0), 1)
+	return min(max((m.weight*m.xy+prior)/(m.weight*m.xx+prior), 0), 1)
 }
 
-// expected is the run time expected of a task with an estimate.
-func (l *learned) expected(estimated time.Duration) time.Duration {
-	if l == nil || l.weight == 0 {
+// expected returns the run time predicted for a task with the given estimate.
+func (m *runTimeModel) expected(estimated time.Duration) time.Duration {
+	if m == nil || m.weight == 0 {
 		if estimated <= 0 {
-			return firstEstimate
+			return defaultEstimate
 		}
 		return max(estimated, minExpected)
 	}
 	if estimated <= 0 {
-		return max(seconds(math.Exp(l.y)), minExpected)
+		return max(seconds(math.Exp(m.y)), minExpected)
 	}
-	// The means count for little while few runs have been seen.
-	share := l.weight / (l.weight + priorWeight)
+	// With few runs, the regression gets little weight.
+	share := m.weight / (m.weight + priorWeight)
 	e := logSeconds(estimated)
-	regressed := l.y + l.slope()*(e-l.x)
+	regressed := m.y + m.slope()*(e-m.x)
 	return max(seconds(math.Exp(share*regressed+(1-share)*e)), minExpected)
 }
 
-// spread of the logarithm of the run time about the expected.
-func (l *learned) spread() float64 {
-	if l == nil {
+// spread returns the standard deviation of the logarithm of the run time about the expected.
+func (m *runTimeModel) spread() float64 {
+	if m == nil {
 		return priorSpread
 	}
-	b := l.slope()
-	residual := max(0, l.yy-2*b*l.xy+b*b*l.xx)
-	return math.Sqrt((l.weight*residual + priorWeight*priorSpread*priorSpread) / (l.weight + priorWeight))
+	b := m.slope()
+	residual := max(0, m.yy-2*b*m.xy+b*b*m.xx)
+	return math.Sqrt((m.weight*residual + priorWeight*priorSpread*priorSpread) / (m.weight + priorWeight))
 }
 
-// atLeast is the run time that few tasks with the expected one fall below.
-func (l *learned) atLeast(expected time.Duration) time.Duration {
-	return time.Duration(float64(expected) * math.Exp(-sureSpreads*l.spread()))
+// lowerBound returns the run time below which few tasks with the expected one fall.
+func (m *runTimeModel) lowerBound(expected time.Duration) time.Duration {
+	return time.Duration(float64(expected) * math.Exp(-lowerBoundSpreads*m.spread()))
 }
 
 func logSeconds(d time.Duration) float64 { return math.Log(max(d, minExpected).Seconds()) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// expected is how long a task is taken to run on a sound worker.
-func (d *Dispatcher) expected(queue string, estimated time.Duration) time.Duration {
-	return d.learned[queue].expected(estimated)
+// expectedRun returns the predicted run time of a task on a healthy worker.
+func (d *Dispatcher) expectedRun(queue string, estimated time.Duration) time.Duration {
+	return d.runTimes[queue].expected(estimated)
 }
 
-// learn takes in how long a task ran, or would have.
+// learn records how long a task ran, or would have run.
 func (d *Dispatcher) learn(queue string, estimated, ran time.Duration) {
-	l := d.learned[queue]
-	if l == nil {
-		l = &learned{}
-		d.learned[queue] = l
+	m := d.runTimes[queue]
+	if m == nil {
+		m = &runTimeModel{}
+		d.runTimes[queue] = m
 	}
 	if estimated <= 0 {
-		estimated = firstEstimate
+		estimated = defaultEstimate
 	}
 	if d.opts.Without.Has(without.Learning) {
 		return
 	}
-	l.take(estimated, ran)
+	m.observe(estimated, ran)
 }
--- a/dispatch/dispatcher/orders.go
+++ b/dispatch/dispatcher/orders.go
@@ -12,7 +12,7 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// order is one run of a task given to an agent.
+// order is an instruction to an agent to start one run of a task.
 type order struct {
 	number uint64
 	task   *task
@@ -20,55 +20,55 @@
 	agent  *agent
 	size   size.Size
 	sentAt time.Time
-	// expected on a sound worker.
+	// expected is the predicted run time on a healthy worker.
 	expected time.Duration
 	started  bool
-	stopped  bool // a stop was asked for
-	// lag is what was said last of a run that is slower than expected.
-	lag lag
+	stopped  bool // a stop was requested
+	// progress is the last reported progress if the run is slower than expected.
+	progress runProgress
 }
 
-// stop ends a run. An order that has not left this process is taken back.
-func (d *Dispatcher) stop(o *order) {
+// stopOrder ends a run. An order that has not left this process is withdrawn.
+func (d *Dispatcher) stopOrder(o *order) {
 	if o.stopped {
 		return
 	}
 	a := o.agent
-	if i := slices.IndexFunc(a.out.Orders, func(x *pb.Order) bool { return x.Number == o.number }); i >= 0 {
-		a.out.Orders = slices.Delete(a.out.Orders, i, i+1)
-		d.drop(o)
-		a.renewFree()
+	if i := slices.IndexFunc(a.pending.Orders, func(x *pb.Order) bool { return x.Number == o.number }); i >= 0 {
+		a.pending.Orders = slices.Delete(a.pending.Orders, i, i+1)
+		d.removeOrder(o)
+		a.recomputeFree()
 		d.requeue(o.task.job, o.task)
 		return
 	}
 	o.stopped = true
-	a.out.Stops = append(a.out.Stops, o.number)
+	a.pending.Stops = append(a.pending.Stops, o.number)
 	a.dirty = true
 	d.touch(a)
 }
 
-// send orders a run.
-func (d *Dispatcher) send(now time.Time, a *agent, t *task, s *step, wait time.Duration) {
-	d.orderNo++
-	if t.firstSent.IsZero() {
-		t.firstSent, t.foretold = now, wait
-	}
-	t.runs++
-	t.job.highestRun = max(t.job.highestRun, t.runs)
+// sendOrder orders a run.
+func (d *Dispatcher) sendOrder(now time.Time, a *agent, t *task, s *step, wait time.Duration) {
+	d.lastOrder++
+	if t.firstOrderedAt.IsZero() {
+		t.firstOrderedAt, t.predictedWait = now, wait
+	}
+	t.lastRun++
+	t.job.highestRun = max(t.job.highestRun, t.lastRun)
 	o := &order{
-		number: d.orderNo, task: t, run: t.runs, agent: a, size: s.Size, sentAt: now, expected: s.expect,
+		number: d.lastOrder, task: t, run: t.lastRun, agent: a, size: s.Size, sentAt: now, expected: s.expected,
 	}
 	if d.suspected(t) {
-		a.trialUntil = now.Add(trialFor)
+		a.trialUntil = now.Add(trialPeriod)
 	}
 	a.live = append(a.live, o)
-	a.frees.Add(o.expected, s.Size.CPUMillis)
+	a.releases.Add(o.expected, s.Size.CPUMillis)
 	t.job.orders = append(t.job.orders, o)
 	t.job.ordered = true
-	a.out.Orders = append(a.out.Orders, &pb.Order{
+	a.pending.Orders = append(a.pending.Orders, &pb.Order{
 		Number: o.number, Task: t.name(), Run: o.run, Payload: t.job.Payload, Size: s.Size.Message(),
-		Priority: t.job.queue.Priority, WaitMs: uint32(d.waitAt(now, t, wait).Milliseconds()),
-		ExpectedMs: uint32(s.expect.Milliseconds()), LimitMs: uint32(max(0, t.job.deadline.Sub(now).Milliseconds())),
+		Priority: t.job.queue.Priority, WaitMs: uint32(d.maxOrderWait(now, t, wait).Milliseconds()),
+		ExpectedMs: uint32(s.expected.Milliseconds()), LimitMs: uint32(max(0, t.job.deadline.Sub(now).Milliseconds())),
 		StartByMs: startByMs(now, t),
 	})
 	a.dirty = true
@@ -83,29 +83,29 @@
 	})
 }
 
-// drop forgets an order that has ended.
-func (d *Dispatcher) drop(o *order) {
+// removeOrder removes an order that has ended.
+func (d *Dispatcher) removeOrder(o *order) {
 	same := func(x *order) bool { return x == o }
 	o.agent.live = slices.DeleteFunc(o.agent.live, same)
 	o.task.job.orders = slices.DeleteFunc(o.task.job.orders, same)
 	if j := o.task.job; j.ended && len(j.orders) == 0 {
-		d.settled(j)
+		d.handleSettled(j)
 	}
 }
 
-// refused takes in that a run has not begun and never will.
-func (d *Dispatcher) refused(now time.Time, o *order, reason string) {
+// handleRefusal handles an order whose run has not begun and never will.
+func (d *Dispatcher) handleRefusal(now time.Time, o *order, reason string) {
 	t, a := o.task, o.agent
-	d.drop(o)
-	a.renewFree()
+	d.removeOrder(o)
+	a.recomputeFree()
 	switch reason {
 	case runner.ReasonOldRun:
-		// Another entry has run the task before, at the caller's earlier attempt.
-		t.runs += runNumberStep
+		// Another entry has run the task before, for the caller's earlier attempt.
+		t.lastRun += runNumberStep
 	case runner.ReasonLate:
-		d.arrivedLate(now, a)
+		d.recordStaleOrder(now, a)
 	case runner.ReasonRoom, runner.ReasonWaited:
-		d.waitsStill(now, t)
+		d.recordOngoingWait(now, t)
 	case runner.ReasonStopped, runner.ReasonHeld:
 	default:
 		if a.session.IsUp() {
@@ -121,83 +121,83 @@
 		return
 	}
 	d.requeue(j, t)
-	if !d.opts.Without.Has(without.GivingUp) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
-		// Its answer would be of no use; the others of its tasks would only take room.
-		d.giveUp(now, j, ReasonHeld)
+	if !d.opts.Without.Has(without.Abandonment) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
+		// Its answer would be of no use, and its other tasks would only take capacity.
+		d.abandon(now, j, ReasonHeld)
 		return
 	}
-	if !j.started && !j.hasOrders() && !now.Before(j.holdEnd) {
-		d.giveUp(now, j, ReasonHeld)
+	if !j.started && !j.hasOrders() && !now.Before(j.placeBy) {
+		d.abandon(now, j, ReasonHeld)
 	}
 }
 
-// runNumberStep passes the run numbers that an earlier entry may have used.
+// runNumberStep skips the run numbers that an earlier entry may have used.
 const runNumberStep = 1000
 
-// news takes in what became of an order.
-func (d *Dispatcher) news(now time.Time, o *order, n *pb.OrderNews) {
+// handleOrderUpdate applies an agent's report on an order.
+func (d *Dispatcher) handleOrderUpdate(now time.Time, o *order, n *pb.OrderNews) {
 	t, a := o.task, o.agent
 	switch n.State {
 	case pb.OrderState_ORDER_STATE_REFUSED:
-		d.refused(now, o, n.Reason)
+		d.handleRefusal(now, o, n.Reason)
 	case pb.OrderState_ORDER_STATE_STARTED:
-		d.began(now, o, time.Duration(n.RunMs)*time.Millisecond)
+		d.recordStart(now, o, time.Duration(n.RunMs)*time.Millisecond)
 	case pb.OrderState_ORDER_STATE_DONE:
 		ran := time.Duration(n.RunMs) * time.Millisecond
-		// Its start may have gone unanswered.
-		d.began(now, o, ran)
-		d.drop(o)
+		// The report of its start may be missing.
+		d.recordStart(now, o, ran)
+		d.removeOrder(o)
 		d.learnFrom(now, o, ran)
-		d.decideEnd(now, o, "done", ran)
+		d.logRunEnd(now, o, "done", ran)
 		d.siblingDone(now, o, ran)
 		d.taskDone(now, t)
 	case pb.OrderState_ORDER_STATE_FAILED:
-		d.drop(o)
+		d.removeOrder(o)
 		t.job.started = true
-		d.decideEnd(now, o, "failed", time.Duration(n.RunMs)*time.Millisecond)
-		d.judge(now, a, t.job, health.Result{Failed: true})
+		d.logRunEnd(now, o, "failed", time.Duration(n.RunMs)*time.Millisecond)
+		d.reportHealth(now, a, t.job, health.Result{Failed: true})
 		d.taskFailed(now, t, a)
 	case pb.OrderState_ORDER_STATE_STOPPED, pb.OrderState_ORDER_STATE_LOST:
-		d.drop(o)
+		d.removeOrder(o)
 		t.job.started = true
-		d.decideEnd(now, o, "stopped or lost", time.Duration(n.RunMs)*time.Millisecond)
-		d.afterLoss(now, t, a, n.Reason)
+		d.logRunEnd(now, o, "stopped or lost", time.Duration(n.RunMs)*time.Millisecond)
+		d.handleLoss(now, t, a, n.Reason)
 	case pb.OrderState_ORDER_STATE_STALLED:
-		d.stalled(now, o, n)
+		d.handleStall(now, o, n)
 	}
 }
 
-// began takes in that a run has begun so long ago.
-func (d *Dispatcher) began(now time.Time, o *order, ago time.Duration) {
+// recordStart records that a run has started the given time ago.
+func (d *Dispatcher) recordStart(now time.Time, o *order, ago time.Duration) {
 	if !o.started {
-		d.waited(now, o.task, now.Sub(o.task.firstSent)-ago)
+		d.recordWait(now, o.task, now.Sub(o.task.firstOrderedAt)-ago)
 	}
 	o.started, o.task.job.started = true, true
 }
 
-func (d *Dispatcher) decideEnd(now time.Time, o *order, outcome string, ran time.Duration) {
+func (d *Dispatcher) logRunEnd(now time.Time, o *order, outcome string, ran time.Duration) {
 	d.opts.Decided(Decision{
 		Event: "run_ended", Job: o.task.job.ID, Queue: o.task.job.queue.Name, Task: o.task.name(), Run: o.run, Agent: o.agent.name,
 		Order: o.number, Outcome: outcome, Elapsed: ran, Age: now.Sub(o.sentAt),
 	})
 }
 
-// learnFrom compares a run with what was expected of it.
+// learnFrom compares a run with its prediction.
 func (d *Dispatcher) learnFrom(now time.Time, o *order, ran time.Duration) {
 	j := o.task.job
-	d.judge(now, o.agent, j, health.Result{Run: relative(ran, o.expected)})
-	if o.agent.standing == place.Open {
+	d.reportHealth(now, o.agent, j, health.Result{Run: relativeRun(ran, o.expected)})
+	if o.agent.healthState == place.Open {
 		d.learn(j.queue.Name, j.steps[o.task.step].Estimated, ran)
 	}
 }
 
-func (d *Dispatcher) judge(now time.Time, a *agent, j *job, r health.Result) {
+func (d *Dispatcher) reportHealth(now time.Time, a *agent, j *job, r health.Result) {
 	if d.opts.Without.Has(without.Health) {
 		return
 	}
 	r.Contract = j.queue.Name
 	if d.health.Report(a.incarnation, r, now) {
-		d.updateStanding(now, a)
+		d.updateHealthState(now, a)
 	}
 	a.slowness = d.health.Slowness(a.incarnation)
 }
--- a/dispatch/dispatcher/place.go
+++ b/dispatch/dispatcher/place.go
@@ -9,20 +9,20 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// waitlist holds the jobs of one service that have tasks to place, in the order in
-// which they go: those taken in late last, then by urgency, then those begun before those not begun, whose
-// running tasks would be wasted, then by how soon they must start: of two jobs, the
-// longer one has less time to lose.
+// waitlist holds the jobs of one service that have tasks to place, in order of precedence:
+// jobs on time before those admitted late, then by priority, then jobs with orders before
+// those without, since their running tasks would otherwise be wasted, then by latest start: of
+// two jobs, the longer one has less time to spare.
 type waitlist struct {
-	jobs  []*job
-	drain rate // work placed
-	mix   mix
-	eager bool // agents were told that work waits
-	// refusedAt is when a job was last refused for want of room.
+	jobs          []*job
+	placementRate rate // of work placed
+	mix           urgencyMix
+	expedite      bool // agents were asked for immediate reports because work waits
+	// refusedAt is when a job was last refused for lack of free capacity.
 	refusedAt time.Time
 }
 
-func goesBefore(a, b *job) int {
+func comparePrecedence(a, b *job) int {
 	switch {
 	case a.late != b.late:
 		if b.late {
@@ -41,57 +41,57 @@
 }
 
 func (d *Dispatcher) waitlist(service string) *waitlist {
-	w := d.waits[service]
+	w := d.waitlists[service]
 	if w == nil {
 		w = &waitlist{}
-		d.waits[service] = w
+		d.waitlists[service] = w
 	}
 	return w
 }
 
-func (d *Dispatcher) list(j *job) {
-	if len(j.waiting) == 0 || j.listed || j.ended || j.before != nil {
+func (d *Dispatcher) enqueue(j *job) {
+	if len(j.waiting) == 0 || j.queued || j.ended || j.previous != nil {
 		return
 	}
 	w := d.waitlist(j.queue.Service)
-	pos, _ := slices.BinarySearchFunc(w.jobs, j, goesBefore)
+	pos, _ := slices.BinarySearchFunc(w.jobs, j, comparePrecedence)
 	w.jobs = slices.Insert(w.jobs, pos, j)
-	j.listed = true
+	j.queued = true
 }
 
-func (d *Dispatcher) unlist(j *job) {
-	if !j.listed {
+func (d *Dispatcher) dequeue(j *job) {
+	if !j.queued {
 		return
 	}
 	w := d.waitlist(j.queue.Service)
 	w.jobs = slices.DeleteFunc(w.jobs, func(x *job) bool { return x == j })
-	j.listed = false
+	j.queued = false
 }
 
-// maxSkipped bounds the jobs passed over because their own requirements can't be
+// maxSkipped limits the jobs that are skipped because their own requirements can't be
 // met now, so that a long list costs no more than a short one.
 const maxSkipped = 32
 
-// place sends waiting tasks to workers that have room, the next job first.
+// place orders waiting tasks at workers with free capacity, in order of precedence.
 func (d *Dispatcher) place(now time.Time) {
-	for _, w := range d.waits {
+	for _, w := range d.waitlists {
 		skipped := 0
 		for i := 0; i < len(w.jobs) && skipped < maxSkipped; {
 			j := w.jobs[i]
-			began := j.ordered
+			hadOrders := j.ordered
 			full := d.placeJob(now, j)
 			if len(j.waiting) == 0 {
 				w.jobs = slices.Delete(w.jobs, i, i+1)
-				j.listed = false
+				j.queued = false
 				continue
 			}
 			if full {
 				break
 			}
-			if j.ordered != began {
-				// It goes before others now; its place is found at the next call.
-				d.unlist(j)
-				d.list(j)
+			if j.ordered != hadOrders {
+				// It precedes others now; its new position takes effect at the next call.
+				d.dequeue(j)
+				d.enqueue(j)
 			}
 			skipped++
 			i++
@@ -107,15 +107,15 @@
 	wait  time.Duration
 }
 
-// choose finds workers for the job's waiting tasks, and takes the room that they
-// need from what is known to be free. Full: a task that any worker may run found
+// choose finds workers for the job's waiting tasks and deducts the capacity that they need
+// from the workers' free capacity. full reports that a task which any worker may run found
 // none, so no later one will either.
 func (d *Dispatcher) choose(now time.Time, j *job) (chosen []placement, left []*task, full bool) {
 	for n, t := range j.waiting {
 		s := &j.steps[t.step]
 		a, wait := d.pick(now, t, s)
 		if a == nil && len(t.avoid) > 0 && len(t.avoid) >= d.accepting(j.queue.Service) {
-			// It has been everywhere; a second try beats none.
+			// All workers are excluded; a second try at one is better than none.
 			t.avoid = nil
 			a, wait = d.pick(now, t, s)
 		}
@@ -132,7 +132,7 @@
 	return chosen, left, false
 }
 
-// placeJob sends what it can.
+// placeJob orders what it can place, and reports whether the workers are full.
 func (d *Dispatcher) placeJob(now time.Time, j *job) (full bool) {
 	chosen, left, full := d.choose(now, j)
 	j.waiting = left
@@ -143,44 +143,44 @@
 func (d *Dispatcher) sendChosen(now time.Time, chosen []placement) {
 	for _, p := range chosen {
 		w := d.waitlist(p.task.job.queue.Service)
-		w.drain.add(now, work(p.step.Size, p.step.expect))
-		d.ordered.add(now, 1)
-		w.mix.add(now, p.task.job.urgency(), p.step.Size, p.step.expect)
-		d.send(now, p.agent, p.task, p.step, p.wait)
+		w.placementRate.add(now, work(p.step.Size, p.step.expected))
+		d.orderRate.add(now, 1)
+		w.mix.add(now, p.task.job.urgency(), p.step.Size, p.step.expected)
+		d.sendOrder(now, p.agent, p.task, p.step, p.wait)
 	}
 }
 
 const (
-	// minChoice is the least number of workers that a task is offered where so many
-	// can start it in time.
-	minChoice = 3
-	// collisionCost is how much later a task is taken to start on a worker without
-	// free room than on an idle one: other entries may have filled it since.
+	// minCandidates is the least number of workers that are compared for a task, if that
+	// many can start it in time.
+	minCandidates = 3
+	// collisionCost is the delay added to the expected start on a full worker, compared
+	// with an idle one: other entries may have filled it since its report.
 	collisionCost = 8 * time.Millisecond
 )
 
-// pick chooses the worker where a task is expected to end first, among the next few
-// that are expected to start it in the time that it may wait. Nil: none.
+// pick returns the worker where a task is expected to end first, among the next few that are
+// expected to start it within the time that it may wait. Nil: none.
 //
-// It must not be the best of all: entries get the same reports, up to a tenth of a
-// second old, and would all choose the same worker in that time, which then refuses
-// most of what it is sent. So each looks at its part of the workers, from where it
-// stopped before, and at more only while too few of them are fit.
+// It must not be the best of all: entries get the same reports, up to a tenth of a second old,
+// and would all choose the same worker meanwhile, which then refuses most of its orders. So
+// each entry compares its share of the workers, starting where it stopped before, and more
+// only while too few of them are suitable.
 func (d *Dispatcher) pick(now time.Time, t *task, s *step) (best *agent, bestWait time.Duration) {
 	var bestScore float64
 	n := len(d.agents)
 	if n == 0 {
 		return nil, 0
 	}
-	limit := max(0, d.mayWait(now, t)-d.marginOf(now, t.job))
-	passed := d.passedBy(now, t.job)
-	left := max(minChoice, n/d.sharers())
+	limit := max(0, d.maxWait(now, t)-d.marginFor(now, t.job))
+	factor := d.overtakeFactor(now, t.job)
+	remaining := max(minCandidates, n/d.sharingEntries())
 	suspected := d.suspected(t)
 	if suspected {
-		left = n
+		remaining = n
 	}
-	if d.opts.Without.Has(without.PartOfWorkers) {
-		left = n
+	if d.opts.Without.Has(without.WorkerSubset) {
+		remaining = n
 	}
 	for range n {
 		d.cursor = (d.cursor + 1) % n
@@ -188,32 +188,32 @@
 		if !d.mayRun(now, a, t, s) {
 			continue
 		}
-		wait := a.wait(s.Size, t.job.queue.Priority, t.job.late)
-		if time.Duration(passed*float64(wait)) > limit {
+		wait := a.expectedWait(s.Size, t.job.queue.Priority, t.job.late)
+		if time.Duration(factor*float64(wait)) > limit {
 			continue
 		}
 		score := float64(wait) + d.score(a, t, s)
 		if suspected {
-			score += float64(crowdCost) * (1 - a.free.CPUShare(a.capacity))
+			score += float64(busyWorkerPenalty) * (1 - a.free.CPUShare(a.capacity))
 		}
 		if best == nil || score < bestScore {
 			best, bestScore, bestWait = a, score, wait
 		}
 		if s.Rack == "" || a.hasLabel(s.Rack) {
 			// Others are far from the task's data, and count only if there is no other.
-			left--
+			remaining--
 		}
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
 	}
 	return best, bestWait
 }
 
-// sharers is how many entries place work on a worker that this one does.
-func (d *Dispatcher) sharers() int { return min(max(1, len(d.entries)), subset.Links) }
+// sharingEntries returns how many entries place work on the same worker.
+func (d *Dispatcher) sharingEntries() int { return min(max(1, len(d.entries)), subset.Links) }
 
-// urgency is by what a job's work is passed.
+// urgency is the priority by which a job's work overtakes and is overtaken.
 func (j *job) urgency() uint32 {
 	if j.late {
 		return lateUrgency
@@ -221,27 +221,27 @@
 	return j.queue.Priority
 }
 
-// passedBy is how many times longer than the work ahead of it a task of a job waits.
-func (d *Dispatcher) passedBy(now time.Time, j *job) float64 {
-	if d.opts.Without.Has(without.PassedBy) {
+// overtakeFactor returns how many times longer than the work ahead of it a task of a job waits.
+func (d *Dispatcher) overtakeFactor(now time.Time, j *job) float64 {
+	if d.opts.Without.Has(without.Overtaking) {
 		return 1
 	}
-	return d.waitlist(j.queue.Service).mix.passedBy(now, j.urgency())
+	return d.waitlist(j.queue.Service).mix.overtakeFactor(now, j.urgency())
 }
 
-// servable reports whether some worker is expected to start a task while that is of
+// servable reports whether some worker is expected to start a task while its answer is of
 // use.
 func (d *Dispatcher) servable(now time.Time, t *task) bool {
 	s := &t.job.steps[t.step]
 	limit := t.latestStart().Sub(now)
-	passed := d.passedBy(now, t.job)
+	factor := d.overtakeFactor(now, t.job)
 	return slices.ContainsFunc(d.agents, func(a *agent) bool {
-		wait := a.wait(s.Size, t.job.queue.Priority, t.job.late)
-		return time.Duration(passed*float64(wait)) <= limit && d.mayRun(now, a, t, s)
+		wait := a.expectedWait(s.Size, t.job.queue.Priority, t.job.late)
+		return time.Duration(factor*float64(wait)) <= limit && d.mayRun(now, a, t, s)
 	})
 }
 
-// accepting counts the workers of a service that take orders.
+// accepting returns the number of workers of a service that take orders.
 func (d *Dispatcher) accepting(service string) int {
 	n := 0
 	for _, a := range d.agents {
@@ -259,26 +259,26 @@
 
 // mayRun reports whether a worker may be given a task at all.
 func (d *Dispatcher) mayRun(now time.Time, a *agent, t *task, s *step) bool {
-	if a.standing != place.Open {
-		d.updateStanding(now, a) // its time may be over
+	if a.healthState != place.Open {
+		d.updateHealthState(now, a) // its time may be over
 	}
 	switch {
 	case !d.takesOrders(a, t.job.queue.Service):
 		return false
-	case a.standing == place.Suspended || a.standing == place.Trial && len(a.live) > 0:
+	case a.healthState == place.Suspended || a.healthState == place.Trial && len(a.live) > 0:
 		return false
 	case !s.Size.FitsIn(a.capacity) || !a.hasLabel(s.Requires):
 		return false
 	case slices.Contains(t.avoid, a) || now.Before(a.trialUntil):
 		return false
 	}
-	return s.MaxPerWorker == 0 || a.ofStep(t) < s.MaxPerWorker
+	return s.MaxPerWorker == 0 || a.countOfStep(t) < s.MaxPerWorker
 }
 
-// score is the expected delay of a task at a worker against an idle, sound and
-// near one, in nanoseconds.
+// score returns the expected delay of a task at a worker compared with an idle, healthy
+// and near one, in nanoseconds.
 func (d *Dispatcher) score(a *agent, t *task, s *step) float64 {
-	run := float64(s.expect)
+	run := float64(s.expected)
 	score := run * max(0, a.slowness-1)
 	if a.domain != d.opts.FailureDomain {
 		score += float64(d.opts.DomainRoundTrip)
@@ -293,24 +293,24 @@
 	return score + float64(collisionCost)*used*used
 }
 
-// predictWait is how long a job would wait until what goes before it is placed, at
-// the pace of the last half second.
+// predictWait returns how long a job would wait until the work that precedes it is placed,
+// at the rate of the last half second.
 func (d *Dispatcher) predictWait(now time.Time, j *job) time.Duration {
 	w := d.waitlist(j.queue.Service)
 	ahead := 0.0
 	for _, x := range w.jobs {
-		if x == j || goesBefore(x, j) > 0 {
+		if x == j || comparePrecedence(x, j) > 0 {
 			continue
 		}
 		for _, t := range x.waiting {
 			s := &x.steps[t.step]
-			ahead += work(s.Size, s.expect)
+			ahead += work(s.Size, s.expected)
 		}
 	}
 	if ahead == 0 {
 		return 0
 	}
-	rate := w.drain.perSecond(now)
+	rate := w.placementRate.perSecond(now)
 	if rate == 0 {
 		return maxRetryAfter
 	}
--- a/dispatch/dispatcher/rate.go
+++ b/dispatch/dispatcher/rate.go
@@ -6,23 +6,23 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// rate measures how much of something there was a second, over the last half second.
+// rate measures an amount per second over the last half second.
 type rate struct {
 	buckets [rateBuckets]float64
 	at      int64 // bucket of the last addition
 }
 
 const (
-	rateBuckets = 10
-	rateBucket  = 50 * time.Millisecond
+	rateBuckets     = 10
+	rateBucketWidth = 50 * time.Millisecond
 )
 
-// work is a task's processor time in thousandths of a core times seconds.
+// work is a task's CPU time in core milliseconds.
 func work(s size.Size, run time.Duration) float64 { return float64(s.CPUMillis) * run.Seconds() }
 
-// turnOver clears the buckets of a ring that time has passed since the last addition,
-// and returns the bucket of now.
-func turnOver[T any](buckets []T, last int64, now time.Time, width time.Duration, clear func(*T)) int64 {
+// rotateBuckets clears the buckets of a ring that expired since the last addition, and
+// returns the current bucket.
+func rotateBuckets[T any](buckets []T, last int64, now time.Time, width time.Duration, clear func(*T)) int64 {
 	at, n := now.UnixNano()/int64(width), int64(len(buckets))
 	for i := range min(at-last, n) {
 		clear(&buckets[(at-i)%n])
@@ -31,7 +31,7 @@
 }
 
 func (r *rate) advance(now time.Time) {
-	r.at = turnOver(r.buckets[:], r.at, now, rateBucket, func(b *float64) { *b = 0 })
+	r.at = rotateBuckets(r.buckets[:], r.at, now, rateBucketWidth, func(b *float64) { *b = 0 })
 }
 
 func (r *rate) add(now time.Time, amount float64) {
@@ -45,5 +45,5 @@
 	for _, b := range r.buckets {
 		sum += b
 	}
-	return sum / (rateBuckets * rateBucket).Seconds()
+	return sum / (rateBuckets * rateBucketWidth).Seconds()
 }
--- a/dispatch/dispatcher/wake_test.go
+++ b/dispatch/dispatcher/suspension_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A machine was suspended for seconds. Requests that lay in its sockets meanwhile
-// may be of callers that have gone elsewhere, and they are read before the ends of
-// their connections.
-func TestJobsWaitAnInstantAfterASuspension(t *testing.T) {
+// A machine was suspended for seconds. Requests that were queued in its sockets meanwhile may
+// be of callers that have gone elsewhere, and they are read before the ends of their
+// connections.
+func TestJobsAreHeldAfterSuspension(t *testing.T) {
 	var w Wake
 	now, steady := time.Unix(5000, 0), 100*time.Second
 	for _, c := range []struct {
@@ -18,8 +18,8 @@
 		{0, 0, 0},
 		{10 * time.Second, 10 * time.Second, 0},
 		{50 * time.Millisecond, 0, 0},
-		{2 * time.Second, time.Millisecond, wakeHold},
-		{100 * time.Millisecond, 100 * time.Millisecond, wakeHold},
+		{2 * time.Second, time.Millisecond, suspensionHold},
+		{100 * time.Millisecond, 100 * time.Millisecond, suspensionHold},
 		{time.Second, time.Second, 0},
 	} {
 		now, steady = now.Add(c.pass), steady+c.awake
--- a/dispatch/dispatcher/wait_test.go
+++ b/dispatch/dispatcher/wait_test.go
@@ -10,14 +10,14 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// At a load near the capacity two thirds of the room that comes free goes to more
-// urgent work, which goes on arriving. A less urgent task that sees 50 ms of work ahead
-// waits three times as long; taken for 50 ms, its job would end late.
-func TestLessUrgentTaskIsPassedByWorkToCome(t *testing.T) {
-	var m mix
+// Near capacity two thirds of the released capacity goes to more urgent work, which keeps
+// arriving. A less urgent task behind 50 ms of work waits three times as long; with a predicted
+// wait of 50 ms, its job would end late.
+func TestLessUrgentTaskIsOvertakenByArrivingWork(t *testing.T) {
+	var m urgencyMix
 	now := time.Unix(1000, 0)
 	small := size.Size{CPUMillis: 1000}
-	if got := m.passedBy(now, 1); got != 1 {
+	if got := m.overtakeFactor(now, 1); got != 1 {
 		t.Errorf("%v times without any work, want 1", got)
 	}
 	for range 10 {
@@ -25,23 +25,23 @@
 		m.add(now, 1, small, 10*time.Millisecond)
 		now = now.Add(150 * time.Millisecond)
 	}
-	for priority, want := range []float64{1, 3, maxPassed} {
-		if got := m.passedBy(now, uint32(priority)); math.Abs(got-want) > 1e-9 {
+	for priority, want := range []float64{1, 3, maxOvertakeFactor} {
+		if got := m.overtakeFactor(now, uint32(priority)); math.Abs(got-want) > 1e-9 {
 			t.Errorf("priority %d: %v times, want %v", priority, got, want)
 		}
 	}
-	if got := m.passedBy(now.Add(3*time.Second), 1); got != 1 {
+	if got := m.overtakeFactor(now.Add(3*time.Second), 1); got != 1 {
 		t.Errorf("%v times after three seconds without work, want 1", got)
 	}
 }
 
-// The second of two steps must start in the time that the first one leaves it, not
-// when the job as a whole would have had to.
-func TestLaterStepHasItsOwnTime(t *testing.T) {
-	b := newBed(t, "a")
+// The second of two steps must start in the time that the first one leaves it, not when the
+// job as a whole would have had to start.
+func TestLaterStepHasItsOwnLatestStart(t *testing.T) {
+	b := newFixture(t, "a")
 	in := tasks(1, 1000, 100*time.Millisecond)
 	in.Steps = append(in.Steps, Step{Count: 1, Size: in.Steps[0].Size, Estimated: 300 * time.Millisecond, After: []int{0}})
-	j := b.d.jobs[b.accepted(in)]
+	j := b.d.jobs[b.mustSubmit(in)]
 	objective := 60*time.Millisecond + 640*time.Millisecond
 	for step, want := range []time.Duration{objective - 400*time.Millisecond, objective - 300*time.Millisecond} {
 		if got := (&task{job: j, step: step}).startBy().Sub(b.now); got != want {
@@ -50,12 +50,12 @@
 	}
 }
 
-// A worker is full and stays so: twelve entries send it work, and this one's report of
-// it is a tenth of a second old. Were its room taken to have come free meanwhile, each
-// entry would send it a job whose caller then waits past its objective.
-func TestOldReportPromisesNoRoom(t *testing.T) {
-	b := newBed(t, "a")
-	b.accepted(tasks(4, 1000, 100*time.Millisecond))
+// A worker is full and stays so: twelve entries send it work, and this one's report of it is a
+// tenth of a second old. If released capacity were assumed free since, each entry would send it
+// a job that misses its objective.
+func TestOldReportPromisesNoFreeCapacity(t *testing.T) {
+	b := newFixture(t, "a")
+	b.mustSubmit(tasks(4, 1000, 100*time.Millisecond))
 	a := b.d.agent("a-1")
 	a.state.Frees = make([]uint32, len(forecast.Horizons))
 	for i, h := range forecast.Horizons {
@@ -63,11 +63,11 @@
 			a.state.Frees[i] = 4000
 		}
 	}
-	a.state.Room, a.state.SeenOrder = &pb.Room{}, b.d.orderNo
-	a.renewFree()
+	a.state.Room, a.state.SeenOrder = &pb.Room{}, b.d.lastOrder
+	a.recomputeFree()
 	small := size.Size{CPUMillis: 1000}
 	for range 3 {
-		if got := a.wait(small, 0, false); got != 100*time.Millisecond {
+		if got := a.expectedWait(small, 0, false); got != 100*time.Millisecond {
 			t.Errorf("wait %v with a report of %v, want 100 ms", got, b.now.Sub(a.stateAt))
 		}
 		b.now = b.now.Add(40 * time.Millisecond)
--- a/dispatch/without/without.go
+++ b/dispatch/without/without.go
@@ -1,7 +1,6 @@
-// Package without names the mechanisms of the decisions on workers with leases that can
-// be switched off one by one, so that what each is worth can be measured. It is for
-// developers: no promise rests on a mechanism that is listed here, and a deployment has
-// no reason to switch one off.
+// Package without names the features of the decisions on workers with leases that can be
+// disabled one by one, so that the worth of each can be measured. It is for developers: no
+// guarantee depends on a feature listed here, and a deployment has no reason to disable one.
 package without
 
 import (
@@ -11,43 +10,43 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrUnknown is given for a name that no mechanism has.
+// ErrUnknown is the error for a name that no feature has.
 var ErrUnknown = errorx.NewNamespace("without").NewType("unknown")
 
-// Set is a set of mechanisms that are switched off.
+// Set is a set of disabled features.
 type Set uint32
 
-// Mechanisms.
+// Features.
 const (
-	// LateWork: jobs that can't be in time are taken in while their answer is of use.
+	// LateWork: jobs that can't meet their objective are admitted while their answer is of use.
 	LateWork Set = 1 << iota
-	// HeldJobs: a new entry holds jobs until it has met its agents.
+	// HeldJobs: a new entry holds jobs until its agents are linked.
 	HeldJobs
-	// PassedBy: waits are lengthened by more urgent work to come.
-	PassedBy
-	// PartOfWorkers: each entry chooses among its part of the workers.
-	PartOfWorkers
-	// Moves: runs that are slow against others are run elsewhere.
+	// Overtaking: predicted waits include more urgent work still to arrive.
+	Overtaking
+	// WorkerSubset: each entry chooses among its share of the workers.
+	WorkerSubset
+	// Moves: runs that are slow compared with others are moved to other workers.
 	Moves
 	// Health: workers that fail or slow down get less work, or none.
 	Health
-	// Learning: run times are learned, where estimates would serve.
+	// Learning: run times are learned; if disabled, estimates are used.
 	Learning
-	// GivingUp: jobs that can't end in time are given up before their time is over.
-	GivingUp
-	// Eager: agents report at once while work waits at an entry.
-	Eager
-	// Ahead: less urgent work goes ahead while what is more urgent has time.
+	// Abandonment: jobs that can't end in time are abandoned before their time limit.
+	Abandonment
+	// Expedite: agents report immediately while work waits at an entry.
+	Expedite
+	// Ahead: less urgent work is started ahead of more urgent work that has time.
 	Ahead
-	// StartBy: what waits at a worker goes by when it must start; without, as it came.
+	// StartBy: what waits at a worker is ordered by latest start; if disabled, by arrival.
 	StartBy
-	// Patience: an order that waits longer than foretold is offered elsewhere.
-	Patience
-	// Margin: jobs are admitted with the error of lately foretold waits in mind.
+	// OrderWaitLimit: an order that waits longer than predicted is offered elsewhere.
+	OrderWaitLimit
+	// Margin: admission allows for the recent error of predicted waits.
 	Margin
-	// LateYield: late work is taken in only while it gets done.
+	// LateYield: late work is admitted only while most of it is completed.
 	LateYield
-	// Invitations: an entry whose own agents lack room or a label asks for others.
+	// Invitations: an entry whose own agents lack capacity or a label requests others.
 	Invitations
 )
 
@@ -56,19 +55,19 @@
 	"start-by", "patience", "margin", "late-yield", "invitations",
 }
 
-// Names of all mechanisms.
+// Names returns the names of all features.
 func Names() []string { return slices.Clone(names) }
 
-// Has reports whether a mechanism is switched off.
+// Has reports whether a feature is disabled.
 func (s Set) Has(m Set) bool { return s&m != 0 }
 
-// Parse returns the set of the mechanisms named.
+// Parse returns the set of the named features.
 func Parse(list []string) (Set, error) {
 	var s Set
 	for _, name := range list {
 		i := slices.Index(names, name)
 		if i < 0 {
-			return 0, ErrUnknown.New("no mechanism %q; there are %s", name, strings.Join(names, ", "))
+			return 0, ErrUnknown.New("unknown feature %q; known are %s", name, strings.Join(names, ", "))
 		}
 		s |= 1 << i
 	}
--- a/dispatch/without/without_test.go
+++ b/dispatch/without/without_test.go
@@ -19,6 +19,6 @@
 		t.Errorf("an unknown name: %v", err)
 	}
 	if 1<<len(names) != int(Invitations)<<1 {
-		t.Error("names and mechanisms differ in number")
+		t.Error("names and features differ in number")
 	}
 }
