--- a/dispatch/tally/tally.go
+++ b/dispatch/tally/tally.go
@@ -1,11 +1,11 @@
-// Package tally adds up how many jobs wait at the entries of a fleet. An entry whose jobs
-// have waited for a while tells its partners (package gossip), and these tell theirs; who is
-// asked for the count answers from what it holds. At rest nothing waits that long, and
-// nothing travels.
+// Package tally counts the jobs that wait at the entries of a fleet. An entry whose jobs have
+// waited for a while sends their number to its peers (package gossip), which pass it on. Each
+// entry answers a request for the count from its own view. At rest no job waits that long, and
+// nothing is sent.
 //
-// The count is that of a moment ago: SettleFor and the way to every entry together are less
-// than the two seconds by which it may be old. The package does no I/O and reads no clock;
-// callers serialize all calls.
+// The count is eventually consistent: SettleFor and the propagation to all entries together
+// take less than the two seconds by which it may be old. The package does no I/O and reads no
+// clock; callers must serialize all calls.
 package tally
 
 import (
@@ -16,30 +16,30 @@
 )
 
 const (
-	// SettleFor is how long a job must have waited for others to be told of it. Most start
-	// sooner, and telling would cost more than they do.
+	// SettleFor is how long a job must have waited to be counted. Most jobs start sooner, and
+	// reporting them would cost more than they do.
 	SettleFor = 500 * time.Millisecond
-	// keepFor is how long a record counts that isn't renewed: its entry may have ended.
-	keepFor = 2 * time.Second
-	// renewEvery is how often an entry tells counts that have not changed.
-	renewEvery = keepFor / 2
-	// maxRecords bounds the records told at a time: two kilobytes. With more, those with the
-	// most jobs are told.
+	// retention is how long a record counts that isn't renewed: its entry may have ended.
+	retention = 2 * time.Second
+	// renewInterval is how often an entry sends counts that have not changed.
+	renewInterval = retention / 2
+	// maxRecords limits the records sent at a time, to two kilobytes. If there are more, those
+	// with the most jobs are sent.
 	maxRecords = 64
-	// maxQueues bounds the queues of one record, likewise.
+	// maxQueues limits the queues of one record in the same way.
 	maxQueues = 16
 )
 
-// Count is how many jobs of a queue wait.
+// Count is the number of waiting jobs of a queue.
 type Count struct {
 	Queue string
 	Jobs  int
 }
 
-// Record is what one entry has told. Of two, the one with the higher version counts.
+// Record is the counts of one entry. Of two records, the one with the higher version applies.
 type Record struct {
 	Address string
-	// Version grows with each record of an address, also over processes.
+	// Version grows with each record of an address, also across processes.
 	Version uint64
 	Counts  []Count
 }
@@ -51,28 +51,28 @@
 	return n
 }
 
-type held struct {
+type receivedRecord struct {
 	Record
-	at time.Time // when it came
+	at time.Time // when it was received
 }
 
-// View is what one entry knows.
+// View is one entry's view of all entries.
 type View struct {
-	own     held
-	others  map[string]held
+	own     receivedRecord
+	others  map[string]receivedRecord
 	changes uint64
 }
 
-// New returns the view of an entry. The version must be higher than those that an earlier
-// process at the address has told: a time of day serves.
+// New returns the view of an entry. The version must be higher than those that earlier
+// processes at the address have sent; the time of day will do.
 func New(address string, version uint64) *View {
-	return &View{own: held{Record: Record{Address: address, Version: version}}, others: make(map[string]held)}
+	return &View{own: receivedRecord{Record: Record{Address: address, Version: version}}, others: make(map[string]receivedRecord)}
 }
 
-// Changes grows when there is something new to tell.
+// Changes returns a number that grows when there is something new to send.
 func (v *View) Changes() uint64 { return v.changes }
 
-// SetOwn takes in how many jobs have waited here for SettleFor.
+// SetOwn sets how many jobs have waited at this entry for SettleFor, by queue.
 func (v *View) SetOwn(now time.Time, jobs map[string]int) {
 	var counts []Count
 	for _, queue := range slices.Sorted(maps.Keys(jobs)) {
@@ -85,7 +85,7 @@
 		counts = counts[:maxQueues]
 	}
 	same := slices.Equal(counts, v.own.Counts)
-	if same && (len(counts) == 0 || now.Sub(v.own.at) < renewEvery) {
+	if same && (len(counts) == 0 || now.Sub(v.own.at) < renewInterval) {
 		return
 	}
 	v.own.Version++
@@ -93,27 +93,27 @@
 	v.changes++
 }
 
-// Merge takes in records of other entries.
+// Merge applies records of other entries.
 func (v *View) Merge(now time.Time, records []Record) {
 	for _, r := range records {
 		if r.Address == "" || r.Address == v.own.Address || r.Version <= v.others[r.Address].Version {
 			continue
 		}
-		v.others[r.Address] = held{r, now}
+		v.others[r.Address] = receivedRecord{r, now}
 		v.changes++
 	}
 	v.forget(now)
 }
 
 func (v *View) forget(now time.Time) {
-	maps.DeleteFunc(v.others, func(_ string, h held) bool { return now.Sub(h.at) >= keepFor })
+	maps.DeleteFunc(v.others, func(_ string, h receivedRecord) bool { return now.Sub(h.at) >= retention })
 }
 
-// Records are those to tell others.
+// Records returns the records to send to other entries.
 func (v *View) Records(now time.Time) []Record {
 	v.forget(now)
 	var out []Record
-	if now.Sub(v.own.at) < keepFor {
+	if now.Sub(v.own.at) < retention {
 		out = append(out, v.own.Record)
 	}
 	for _, address := range slices.Sorted(maps.Keys(v.others)) {
@@ -126,7 +126,7 @@
 	return out
 }
 
-// Others counts the jobs of a queue that wait at other entries.
+// Others returns the number of jobs of a queue that wait at other entries.
 func (v *View) Others(now time.Time, queue string) (n int) {
 	v.forget(now)
 	for _, h := range v.others {
--- a/dispatch/tally/tally_test.go
+++ b/dispatch/tally/tally_test.go
@@ -23,32 +23,32 @@
 	later := start.Add(100 * time.Millisecond)
 	a.SetOwn(later, nil)
 	c.Merge(later, a.Records(later))
-	c.Merge(later, b.Records(later)) // which still has the earlier record
+	c.Merge(later, b.Records(later)) // with the earlier record
 	if got := c.Others(later, "q"); got != 2 {
 		t.Errorf("%d jobs wait after one entry's have begun, want 2", got)
 	}
 }
 
-// An entry ends without a word. What it told last must not count for ever.
-func TestCountsAreForgotten(t *testing.T) {
+// An entry ends without notice. Its last record must expire.
+func TestCountsExpire(t *testing.T) {
 	a, b := New("a", 1), New("b", 1)
 	a.SetOwn(start, map[string]int{"q": 3})
 	b.Merge(start, a.Records(start))
-	for at := start; at.Before(start.Add(3 * keepFor)); at = at.Add(renewEvery) {
+	for at := start; at.Before(start.Add(3 * retention)); at = at.Add(renewInterval) {
 		if got := b.Others(at, "q"); got != 3 {
-			t.Fatalf("%d jobs wait after %v, while the entry tells of 3", got, at.Sub(start))
+			t.Fatalf("%d jobs wait after %v, while the entry reports 3", got, at.Sub(start))
 		}
-		a.SetOwn(at.Add(renewEvery), map[string]int{"q": 3})
-		b.Merge(at.Add(renewEvery), a.Records(at.Add(renewEvery)))
+		a.SetOwn(at.Add(renewInterval), map[string]int{"q": 3})
+		b.Merge(at.Add(renewInterval), a.Records(at.Add(renewInterval)))
 	}
-	gone := start.Add(4 * keepFor)
+	gone := start.Add(4 * retention)
 	if got := b.Others(gone, "q"); got != 0 || len(b.Records(gone)) != 0 {
 		t.Errorf("%d jobs wait at an entry that has ended", got)
 	}
 }
 
-// A fleet at rest must not talk about waiting jobs.
-func TestNothingIsToldAtRest(t *testing.T) {
+// A fleet at rest must not send counts.
+func TestNothingIsSentAtRest(t *testing.T) {
 	v := New("a", 1)
 	for i := range 100 {
 		v.SetOwn(start.Add(time.Duration(i)*time.Second), map[string]int{"q": 0})
@@ -58,7 +58,7 @@
 	}
 }
 
-// What one frame tells is bounded, however many entries and queues there are.
+// The size of one frame is bounded, however many entries and queues there are.
 func TestRecordsAreBounded(t *testing.T) {
 	v := New("a", 1)
 	jobs := map[string]int{}
@@ -69,13 +69,13 @@
 	for i := range 10 * maxRecords {
 		v.Merge(start, []Record{{Address: fmt.Sprint("e", i), Version: 1, Counts: []Count{{"q", i + 1}}}})
 	}
-	told := v.Records(start)
-	if len(told) != maxRecords {
-		t.Errorf("%d records", len(told))
+	sent := v.Records(start)
+	if len(sent) != maxRecords {
+		t.Errorf("%d records", len(sent))
 	}
-	for _, r := range told {
+	for _, r := range sent {
 		if len(r.Counts) > maxQueues || r.jobs() < 9*maxRecords {
-			t.Errorf("told %+v, which is not among the largest", r)
+			t.Errorf("sent %+v, which is not among the largest", r)
 		}
 	}
 }
