--- a/dispatch/preset/preset.go
+++ b/dispatch/preset/preset.go
@@ -1,5 +1,5 @@
-// Package preset holds the few settings by which a site weighs response time
-// against messages. All processes of a site use the same one.
+// Package preset holds the few settings by which a site trades response time against
+// messages. All processes of a site must use the same one.
 package preset
 
 import (
@@ -14,31 +14,31 @@
 	NameMessages = "messages"
 )
 
-// Preset is one choice.
+// Preset is a named set of these settings.
 type Preset struct {
 	Name string
 	Link link.Options
 	// MaxQueued is how many units of an entry may wait at an agent. A start that is refused for
-	// want of a slot goes elsewhere a round trip later, for two messages more.
+	// lack of a slot is placed elsewhere a round trip later, for two more messages.
 	MaxQueued int
-	// ExchangeAfter is the least time between exchanges that an entry asks for when
-	// its part of a contract holds up work.
+	// ExchangeAfter is the least interval between exchanges that an entry requests when
+	// its share of a contract holds up work.
 	ExchangeAfter time.Duration
 	// OverbookAfter is how long tasks wait for a spare slot before some are sent to
 	// wait at agents.
 	OverbookAfter time.Duration
-	// MessageCost is how much later a task may end to save one message.
+	// MessageCost is the delay of a task's end that is accepted to save one message.
 	MessageCost time.Duration
 }
 
-// Response spends messages to answer sooner, and notices silent connections
-// within half a second.
+// Response uses more messages to answer sooner, and detects unresponsive connections within
+// half a second.
 func Response() Preset {
 	return Preset{Name: NameResponse, Link: link.Options{}.WithDefaults(), MaxQueued: 1, OverbookAfter: 5 * time.Millisecond, ExchangeAfter: 50 * time.Millisecond, MessageCost: time.Millisecond}
 }
 
-// Messages saves messages: acknowledgements wait for frames that flow anyway, and
-// a silent connection is noticed within a few seconds.
+// Messages saves messages: acknowledgements wait for frames that are sent anyway, and a
+// connection that is unresponsive is detected within a few seconds.
 func Messages() Preset {
 	return Preset{
 		Name: NameMessages,
@@ -50,7 +50,7 @@
 	}
 }
 
-// ByName returns a preset; false for an unknown name.
+// ByName returns the preset with the name, and false if there is none.
 func ByName(name string) (Preset, bool) {
 	for _, p := range []Preset{Response(), Messages()} {
 		if p.Name == name {
