--- a/dispatch/runner/crash.go
+++ b/dispatch/runner/crash.go
@@ -7,95 +7,99 @@
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// crash is a crash of the worker while a run of a task was on it, or may have been.
-type crash struct {
-	at   time.Time
-	what *pb.TaskCrash
+// crashRecord records that the worker crashed while a run of a task was, or may have been, on
+// it.
+type crashRecord struct {
+	at     time.Time
+	report *pb.TaskCrash
 }
 
 const (
-	// crashesWithin is how soon after its start a task that crashes its worker is taken to do
-	// so. It counts until the worker answered last: its crash may be noticed much later.
-	crashesWithin = 2 * lookWhileRunning
-	// tellCrashesFor is how long a crash is told on new links: callers send their jobs again
+	// startCrashWindow is the time after its start within which a crash of the worker is
+	// attributed to a task. It ends at the worker's last answer, since the crash itself may be
+	// noticed much later.
+	startCrashWindow = 2 * pollInterval
+	// crashRetention is how long a crash is reported on new links. Callers resubmit their jobs
 	// within seconds.
-	tellCrashesFor = time.Minute
-	// maxCrashes bounds the crashes remembered: a worker that crashes every few seconds.
+	crashRetention = time.Minute
+	// maxCrashes bounds the crashes kept for a worker that crashes every few seconds.
 	maxCrashes = 256
 )
 
-// crashed takes in that the known life has ended without being asked to, and its runs
-// with it. Nothing listens at its address.
-func (r *Runner) crashed(now time.Time, how string) { r.endCrashed(now, how, unanswered) }
+// handleCrash handles an unrequested end of the worker's current incarnation, and of its runs.
+// Nothing listens at the worker's address.
+func (r *Runner) handleCrash(now time.Time, how string) { r.endAfterCrash(now, how, unanswered) }
 
-// succeeded is the same when another life of the worker has taken its place.
-func (r *Runner) succeeded(now time.Time, how string) { r.endCrashed(now, how, unlisted) }
+// handleSuperseded is like handleCrash, but another incarnation of the worker has taken its
+// place.
+func (r *Runner) handleSuperseded(now time.Time, how string) { r.endAfterCrash(now, how, unlisted) }
 
-func (r *Runner) endCrashed(now time.Time, how string, doubtful func(*run) bool) {
+func (r *Runner) endAfterCrash(now time.Time, how string, unresolved func(*run) bool) {
 	if r.known && !r.worker.Draining {
-		r.noteCrashes(now)
+		r.recordCrashes(now)
 	}
-	r.gone(now, how, doubtful, func(x *run) string {
+	r.workerGone(now, how, unresolved, func(x *run) string {
 		switch {
 		case r.worker.Draining:
 			return how
-		case r.atStart(x):
+		case r.crashedAtStart(x):
 			return ReasonCrashed
 		}
 		return ReasonCrashedLater
 	})
 }
 
-// atStart reports whether the worker may have crashed soon after the run began.
-func (r *Runner) atStart(x *run) bool { return r.lookedAt.Sub(x.began) <= crashesWithin }
+// crashedAtStart reports whether the worker may have crashed soon after the run started.
+func (r *Runner) crashedAtStart(x *run) bool { return r.polledAt.Sub(x.startedAt) <= startCrashWindow }
 
-// noteCrashes has all entries told under which tasks the worker crashes: whichever runs one
-// of them again must not take it for harmless.
-func (r *Runner) noteCrashes(now time.Time) {
-	told := r.crashedUnder()
-	for _, m := range told {
-		r.crashes = append(r.crashes, crash{now, m})
+// recordCrashes reports to all entries the tasks during which the worker crashed, so that none
+// of them retries such a task as if it were harmless.
+func (r *Runner) recordCrashes(now time.Time) {
+	reports := r.crashReports()
+	for _, m := range reports {
+		r.crashes = append(r.crashes, crashRecord{now, m})
 	}
 	r.crashes = r.crashes[max(0, len(r.crashes)-maxCrashes):]
 	for _, e := range r.entries {
-		e.crashes = append(e.crashes, told...)
+		e.crashes = append(e.crashes, reports...)
 	}
-	r.tellAtOnce()
+	r.reportStateNow()
 }
 
-// crashedUnder lists the tasks under which the worker has crashed. A start without an answer
-// may never have arrived, so its task is listed only if nothing else there had just begun.
-func (r *Runner) crashedUnder() []*pb.TaskCrash {
-	var told, begun, unsure []*pb.TaskCrash
-	for _, x := range r.order {
-		if x.phase == queued || x.phase == unfenced || x.foreign {
+// crashReports lists the tasks during which the worker has crashed. A start without an answer
+// may never have arrived, so its task is listed only if no other task on the worker had just
+// started.
+func (r *Runner) crashReports() []*pb.TaskCrash {
+	var reports, recent, unconfirmed []*pb.TaskCrash
+	for _, x := range r.runList {
+		if x.phase == queued || x.phase == unfenced || x.orphaned {
 			continue
 		}
-		m := &pb.TaskCrash{Task: x.task, Worker: r.worker.Life.String(), AtStart: r.atStart(x)}
+		m := &pb.TaskCrash{Task: x.task, Worker: r.worker.Life.String(), AtStart: r.crashedAtStart(x)}
 		switch {
 		case unanswered(x):
-			unsure = append(unsure, m)
+			unconfirmed = append(unconfirmed, m)
 			continue
 		case m.AtStart:
-			begun = append(begun, m)
+			recent = append(recent, m)
 		}
-		told = append(told, m)
+		reports = append(reports, m)
 	}
-	if len(begun) == 0 && len(unsure) == 1 {
-		begun, told = unsure, append(told, unsure[0])
+	if len(recent) == 0 && len(unconfirmed) == 1 {
+		recent, reports = unconfirmed, append(reports, unconfirmed[0])
 	}
-	if len(begun) == 1 {
-		begun[0].Alone = true
+	if len(recent) == 1 {
+		recent[0].Alone = true
 	}
-	return told
+	return reports
 }
 
-// recentCrashes is what a new link is told.
+// recentCrashes returns the crashes to report on a new link.
 func (r *Runner) recentCrashes(now time.Time) []*pb.TaskCrash {
-	r.crashes = slices.DeleteFunc(r.crashes, func(c crash) bool { return now.Sub(c.at) > tellCrashesFor })
+	r.crashes = slices.DeleteFunc(r.crashes, func(c crashRecord) bool { return now.Sub(c.at) > crashRetention })
 	var out []*pb.TaskCrash
 	for _, c := range r.crashes {
-		out = append(out, c.what)
+		out = append(out, c.report)
 	}
 	return out
 }
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -10,71 +10,72 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// entry is one entry process that this agent has met.
+// entry is the state of one entry process that this agent has had a link with.
 type entry struct {
 	name        string
 	incarnation string
 	session     link.Session
-	// seen is the highest order number received. Orders come in order on a link,
-	// and those of an older link are dropped, so no lower one can still come.
-	seen uint64
-	// heard is when the entry's last word was sent, as far as this side can tell.
-	heard  time.Time
-	late   lateness
-	downAt time.Time
-
-	unsent []*pb.OrderNews
-	urgent bool // some of it must go out at once
-	// mentionBy is when the rest must; zero: there is none.
-	mentionBy time.Time
-	// unacked is news of ends that the entry has not acknowledged, with the frame
-	// that carried each; after a lost link they go out again.
-	unacked []sentNews
-
-	// retiring: this side closes the link; see Retire. The frame numbered retireSeq told
-	// so; zero: none has yet.
+	// lastOrder is the highest order number received. Orders arrive in order on a link, and
+	// those of an older link are dropped, so no lower number can still arrive.
+	lastOrder uint64
+	// lastReceived is a lower bound of the time at which the entry sent its latest frame.
+	lastReceived time.Time
+	delay        frameDelay
+	downAt       time.Time
+
+	unsent   []*pb.OrderNews
+	flushNow bool // some updates must go out at once
+	// flushBy is when the deferred updates must go out; zero if there are none.
+	flushBy time.Time
+	// unacked holds updates that the entry has not acknowledged, with the number of the frame
+	// that carried each. They are sent again after a lost link.
+	unacked []sentUpdate
+
+	// retiring is set while this side closes the link; see Retire. The frame numbered retireSeq
+	// announced it; zero if none has yet.
 	retiring  bool
 	retireSeq uint64
 
-	crashes []*pb.TaskCrash // not told on this link
+	crashes []*pb.TaskCrash // not yet reported on this link
 
-	stale       bool // the state has changed since it was told
-	eager       bool
-	reportEvery time.Duration
-	reportedAt  time.Time
+	stateChanged     bool // the state has changed since the last report
+	immediateReports bool
+	reportInterval   time.Duration
+	reportedAt       time.Time
 }
 
-type sentNews struct {
-	seq  uint64
-	news *pb.OrderNews
+type sentUpdate struct {
+	seq    uint64
+	update *pb.OrderNews
 }
 
-// forgetEntryAfter is how long an entry without link and runs is remembered. Its
-// order numbers must outlast a link that was cut.
-const forgetEntryAfter = time.Minute
+// entryRetention is how long an entry without link and runs is remembered. Its order numbers
+// must outlast an interrupted link.
+const entryRetention = time.Minute
 
-// defaultReportEvery bounds reports to an entry that has not said how often it
-// wants them.
-const defaultReportEvery = 200 * time.Millisecond
+// defaultReportInterval is the minimum interval of state reports to an entry that has not
+// requested one.
+const defaultReportInterval = 200 * time.Millisecond
 
-// tell puts news of an end, or of something to decide on, into the next frame.
-func (e *entry) tell(n *pb.OrderNews) {
+// notify queues an update for the next frame and has that frame sent at once. It is used for
+// the end of a run and for anything that the entry has to decide on.
+func (e *entry) notify(n *pb.OrderNews) {
 	e.unsent = append(e.unsent, n)
-	e.urgent = true
+	e.flushNow = true
 }
 
-// mention puts news into the next frame that goes out anyway, or soon: that a run has
-// begun changes no decision of the entry while nothing fails, and a frame for it alone
-// would be one of three that a short task costs.
-func (e *entry) mention(now time.Time, n *pb.OrderNews) {
+// notifyDeferred queues an update for the next frame, which need not be sent before
+// maxNotifyDelay. The start of a run changes no decision of the entry as long as nothing fails,
+// and a frame of its own would be a third of the frames that a short task costs.
+func (e *entry) notifyDeferred(now time.Time, n *pb.OrderNews) {
 	e.unsent = append(e.unsent, n)
-	if e.mentionBy.IsZero() {
-		e.mentionBy = now.Add(mentionWithin)
+	if e.flushBy.IsZero() {
+		e.flushBy = now.Add(maxNotifyDelay)
 	}
 }
 
-// mentionWithin is less than a link's acknowledgement may take.
-const mentionWithin = 60 * time.Millisecond
+// maxNotifyDelay is less than the time in which a link expects an acknowledgement.
+const maxNotifyDelay = 60 * time.Millisecond
 
 func (r *Runner) entry(incarnation string) *entry {
 	for _, e := range r.entries {
@@ -85,19 +86,19 @@
 	return nil
 }
 
-// Greeting is what opens a link.
+// Greeting returns the message that opens a link.
 func (r *Runner) Greeting(epoch uint64) *pb.AgentGreeting {
 	g := &pb.AgentGreeting{
 		Agent: r.opts.Agent, Incarnation: r.opts.Incarnation, FailureDomain: r.opts.FailureDomain, Epoch: epoch,
 	}
 	for _, e := range r.entries {
-		g.Met = append(g.Met, &pb.MetEntry{Incarnation: e.incarnation, SeenOrder: e.seen})
+		g.Met = append(g.Met, &pb.MetEntry{Incarnation: e.incarnation, SeenOrder: e.lastOrder})
 	}
 	return g
 }
 
-// Closing takes in that the link to an entry is closed on this side, before a new
-// one is opened: no frame of it may be taken in any more.
+// Closing records that this side closes the link to an entry before it opens a new one. No
+// frame of the old link may be handled afterwards.
 func (r *Runner) Closing(now time.Time, incarnation string) {
 	if e := r.entry(incarnation); e != nil && e.session.IsUp() {
 		e.session.Down()
@@ -105,36 +106,34 @@
 	}
 }
 
-// LinkUp takes in the entry's answer on a new link. Asked is when the link was
-// asked for. It returns false for a link that can't be used, since the answer took so
-// long that nothing tells how late the frames behind it are: the process was frozen
-// meanwhile, or the connection cut.
-func (r *Runner) LinkUp(now, asked time.Time, g *pb.EntryGreeting, epoch uint64, sentNs int64) bool {
-	if now.Sub(asked) > r.opts.Times.MaxLate {
+// LinkUp handles the entry's answer on a new link whose opening began at requested. It returns
+// false if the link can't be used: the answer took so long, because the process was frozen or
+// the connection cut, that the delay of the frames behind it can't be bounded.
+func (r *Runner) LinkUp(now, requested time.Time, g *pb.EntryGreeting, epoch uint64, sentNs int64) bool {
+	if now.Sub(requested) > r.opts.Times.MaxLate {
 		return false
 	}
 	e := r.entry(g.Incarnation)
 	if e == nil {
-		e = &entry{name: g.Entry, incarnation: g.Incarnation, reportEvery: defaultReportEvery}
+		e = &entry{name: g.Entry, incarnation: g.Incarnation, reportInterval: defaultReportInterval}
 		r.entries = append(r.entries, e)
 	}
 	e.session.Up(now, epoch, r.opts.Link)
 	e.retiring = false
-	e.late = lateness{asked: now}
-	e.late.bound(now, asked, sentNs)
-	e.heard = asked
-	e.stale, e.reportedAt = true, time.Time{}
+	e.delay = frameDelay{probedAt: now}
+	e.delay.update(now, requested, sentNs)
+	e.lastReceived = requested
+	e.stateChanged, e.reportedAt = true, time.Time{}
 	r.setEvacuations(now, e, g.Evacuations)
 	e.crashes = r.recentCrashes(now)
 	for _, n := range e.unacked {
-		e.unsent = append(e.unsent, n.news)
+		e.unsent = append(e.unsent, n.update)
 	}
-	e.unacked, e.urgent = nil, len(e.unsent) > 0
+	e.unacked, e.flushNow = nil, len(e.unsent) > 0
 	return true
 }
 
-// LinkDown takes in that a link was lost. Ended says that the entry's process is
-// known to have ended.
+// LinkDown records that a link was lost.
 func (r *Runner) LinkDown(now time.Time, incarnation string, epoch uint64) {
 	if e := r.entry(incarnation); e != nil && e.session.IsUp() && e.session.Epoch() == epoch {
 		e.session.Down()
@@ -142,7 +141,8 @@
 	}
 }
 
-// EntryGone takes in that an entry's process has ended: nobody waits for its runs.
+// EntryGone records that an entry's process has ended, and stops its runs: nobody waits for
+// them.
 func (r *Runner) EntryGone(now time.Time, incarnation, why string) {
 	e := r.entry(incarnation)
 	if e == nil {
@@ -153,18 +153,18 @@
 	r.entries = slices.DeleteFunc(r.entries, func(x *entry) bool { return x == e })
 }
 
-// stopRunsOf ends what an entry ordered that can't be heard any more. Its callers
-// send their jobs again elsewhere, and a task must not run twice at a time.
+// stopRunsOf stops the runs of an entry that is no longer reachable. Its callers send their
+// jobs again elsewhere, and a task must not run twice at a time.
 func (r *Runner) stopRunsOf(now time.Time, e *entry, why string) {
-	for _, x := range slices.Clone(r.order) {
+	for _, x := range slices.Clone(r.runList) {
 		if x.entry == e && x.wanted {
-			r.decided(now, Decision{Event: "run_abandoned", Task: x.task, Run: x.run, Entry: e.name, Order: x.order, Reason: why})
+			r.logDecision(now, Decision{Event: "run_abandoned", Task: x.task, Run: x.run, Entry: e.name, Order: x.order, Reason: why})
 			r.stop(now, x)
 		}
 	}
 }
 
-// Step takes in a frame of the link with the given epoch.
+// Step handles a frame of the link with the given epoch.
 func (r *Runner) Step(now time.Time, incarnation string, epoch uint64, f *pb.OrderFrame) {
 	e := r.entry(incarnation)
 	if e == nil || !e.session.IsUp() || e.session.Epoch() != epoch {
@@ -174,22 +174,22 @@
 	if !e.session.Received(now, f.Seq, f.Ack, content) {
 		return
 	}
-	e.late.acked(now, f.Ack, f.SentNs)
-	late := e.late.of(now, f.SentNs)
-	if word := now.Add(-late); word.After(e.heard) {
-		e.heard = word
+	e.delay.recordAck(now, f.Ack, f.SentNs)
+	delay := e.delay.of(now, f.SentNs)
+	if sentAt := now.Add(-delay); sentAt.After(e.lastReceived) {
+		e.lastReceived = sentAt
 	}
-	e.acked()
-	e.eager = f.Eager
+	e.dropAcked()
+	e.immediateReports = f.Eager
 	if f.ReportEveryMs > 0 {
-		e.reportEvery = time.Duration(f.ReportEveryMs) * time.Millisecond
+		e.reportInterval = time.Duration(f.ReportEveryMs) * time.Millisecond
 	}
 	r.setEvacuations(now, e, f.Evacuations)
 	for _, o := range f.Orders {
-		r.take(now, e, o, late)
+		r.admitOrder(now, e, o, delay)
 	}
 	for _, n := range f.Stops {
-		if x := r.byOrder(e, n); x != nil && x.wanted {
+		if x := r.runByOrder(e, n); x != nil && x.wanted {
 			r.stop(now, x)
 		}
 	}
@@ -198,13 +198,13 @@
 	}
 }
 
-func (e *entry) acked() {
+func (e *entry) dropAcked() {
 	acked := e.session.Acked()
-	e.unacked = slices.DeleteFunc(e.unacked, func(n sentNews) bool { return n.seq <= acked })
+	e.unacked = slices.DeleteFunc(e.unacked, func(n sentUpdate) bool { return n.seq <= acked })
 }
 
-func (r *Runner) byOrder(e *entry, number uint64) *run {
-	for _, x := range r.order {
+func (r *Runner) runByOrder(e *entry, number uint64) *run {
+	for _, x := range r.runList {
 		if x.entry == e && x.order == number {
 			return x
 		}
@@ -212,32 +212,32 @@
 	return nil
 }
 
-// take starts an order, queues it, or refuses it.
-func (r *Runner) take(now time.Time, e *entry, o *pb.Order, late time.Duration) {
-	if o.Number <= e.seen {
+// admitOrder starts an order, queues it, or refuses it.
+func (r *Runner) admitOrder(now time.Time, e *entry, o *pb.Order, delay time.Duration) {
+	if o.Number <= e.lastOrder {
 		return
 	}
-	e.seen = o.Number
+	e.lastOrder = o.Number
 	x := &run{
 		task: o.Task, run: o.Run, payload: o.Payload, size: size.Of(o.Size), priority: o.Priority,
 		expected: time.Duration(o.ExpectedMs) * time.Millisecond,
 		entry:    e, order: o.Number, arrived: now, wanted: true,
-		waitEnd: now.Add(time.Duration(o.WaitMs) * time.Millisecond),
-		limit:   now.Add(time.Duration(o.LimitMs) * time.Millisecond),
-		startBy: now.Add(time.Duration(o.StartByMs) * time.Millisecond), late: o.StartByMs < 0,
+		waitUntil: now.Add(time.Duration(o.WaitMs) * time.Millisecond),
+		deadline:  now.Add(time.Duration(o.LimitMs) * time.Millisecond),
+		startBy:   now.Add(time.Duration(o.StartByMs) * time.Millisecond), late: o.StartByMs < 0,
 	}
 	if r.opts.Without.Has(without.StartBy) {
 		x.startBy = now
 	}
-	if reason := r.refuse(now, x, late); reason != "" {
-		e.tell(&pb.OrderNews{Number: o.Number, State: pb.OrderState_ORDER_STATE_REFUSED, Reason: reason})
-		e.stale = true
-		r.decided(now, Decision{Event: "run_refused", Task: o.Task, Run: o.Run, Entry: e.name, Order: o.Number, Reason: reason})
+	if reason := r.refusalReason(now, x, delay); reason != "" {
+		e.notify(&pb.OrderNews{Number: o.Number, State: pb.OrderState_ORDER_STATE_REFUSED, Reason: reason})
+		e.stateChanged = true
+		r.logDecision(now, Decision{Event: "run_refused", Task: o.Task, Run: o.Run, Entry: e.name, Order: o.Number, Reason: reason})
 		return
 	}
 	r.runs[x.task] = x
-	r.order = append(r.order, x)
-	r.changed()
+	r.runList = append(r.runList, x)
+	r.markChanged()
 	if r.mustWait(x) {
 		r.enqueue(x)
 		return
@@ -245,84 +245,85 @@
 	r.start(now, x)
 }
 
-func (r *Runner) refuse(now time.Time, x *run, late time.Duration) string {
+func (r *Runner) refusalReason(now time.Time, x *run, delay time.Duration) string {
 	switch {
-	case late > r.opts.Times.MaxLate:
-		// A cut or a freeze held the order up. Its entry has given it up by now, and
-		// its caller may have sent the job to another one.
+	case delay > r.opts.Times.MaxLate:
+		// A network cut or a freeze delayed the order. Its entry has abandoned it by now, and
+		// the caller may have sent the job to another entry.
 		return ReasonLate
-	case r.heldFor(x.entry) != HeldNone:
+	case r.heldReasonFor(x.entry) != HeldNone:
 		return ReasonHeld
 	case r.runs[x.task] != nil:
-		return ReasonDouble
+		return ReasonAlreadyRunning
 	case r.mustWait(x) && !r.mayWait(now, x):
 		return ReasonRoom
 	}
 	return ""
 }
 
-// tickEntries notices silent links and entries.
+// tickEntries detects links and entries that have timed out.
 func (r *Runner) tickEntries(now time.Time) {
 	for _, e := range slices.Clone(r.entries) {
 		if e.session.Silent(now) {
-			r.decided(now, Decision{Event: "entry_silent", Entry: e.name, Reason: "no frame or acknowledgement in time"})
+			r.logDecision(now, Decision{Event: "entry_silent", Entry: e.name, Reason: "no frame or acknowledgement in time"})
 			r.ready.Redial = append(r.ready.Redial, e.incarnation)
 			e.session.Down()
 			e.downAt = now
 		}
-		if r.mute(now, e) && r.wantedBy(e) {
-			r.stopRunsOf(now, e, "no word from the entry")
+		if r.timedOut(now, e) && r.hasWantedRuns(e) {
+			r.stopRunsOf(now, e, "nothing received from the entry in time")
 			if e.session.IsUp() {
 				r.ready.Redial = append(r.ready.Redial, e.incarnation)
 				e.session.Down()
 				e.downAt = now
 			}
 		}
-		if !e.session.IsUp() && now.After(e.downAt.Add(forgetEntryAfter)) && !r.runsOf(e) {
+		if !e.session.IsUp() && now.After(e.downAt.Add(entryRetention)) && !r.hasRuns(e) {
 			r.entries = slices.DeleteFunc(r.entries, func(x *entry) bool { return x == e })
 		}
 	}
 }
 
-// mute reports whether an entry has been silent for longer than its runs may go on.
-func (r *Runner) mute(now time.Time, e *entry) bool {
-	return !now.Before(e.heard.Add(r.opts.Times.Silence))
+// timedOut reports whether nothing has been received from an entry for longer than its runs may
+// go on.
+func (r *Runner) timedOut(now time.Time, e *entry) bool {
+	return !now.Before(e.lastReceived.Add(r.opts.Times.Silence))
 }
 
-func (r *Runner) wantedBy(e *entry) bool {
-	return slices.ContainsFunc(r.order, func(x *run) bool { return x.entry == e && x.wanted })
+func (r *Runner) hasWantedRuns(e *entry) bool {
+	return slices.ContainsFunc(r.runList, func(x *run) bool { return x.entry == e && x.wanted })
 }
 
-func (r *Runner) runsOf(e *entry) bool {
-	return slices.ContainsFunc(r.order, func(x *run) bool { return x.entry == e })
+func (r *Runner) hasRuns(e *entry) bool {
+	return slices.ContainsFunc(r.runList, func(x *run) bool { return x.entry == e })
 }
 
-func (r *Runner) nextEntries() time.Time {
+func (r *Runner) nextEntryEvent() time.Time {
 	var next time.Time
 	for _, e := range r.entries {
 		next = link.Earlier(next, e.session.Next())
-		if r.wantedBy(e) {
-			next = link.Earlier(next, e.heard.Add(r.opts.Times.Silence))
+		if r.hasWantedRuns(e) {
+			next = link.Earlier(next, e.lastReceived.Add(r.opts.Times.Silence))
 		}
 		if e.session.IsUp() {
-			next = link.Earlier(next, e.mentionBy)
+			next = link.Earlier(next, e.flushBy)
 		}
-		if e.stale && e.session.IsUp() {
-			next = link.Earlier(next, e.reportedAt.Add(e.reportEvery))
+		if e.stateChanged && e.session.IsUp() {
+			next = link.Earlier(next, e.reportedAt.Add(e.reportInterval))
 		}
 	}
 	return next
 }
 
-// flush makes the frames that are due.
+// flush builds the frames that are due.
 func (r *Runner) flush(now time.Time) {
 	for _, e := range r.entries {
 		if !e.session.IsUp() {
 			continue
 		}
-		report := e.stale && (e.eager || !now.Before(e.reportedAt.Add(e.reportEvery)))
-		mention := !e.mentionBy.IsZero() && !now.Before(e.mentionBy)
-		if e.urgent || mention || report || e.session.Due(now) {
+		report := e.stateChanged && (e.immediateReports || !now.Before(e.reportedAt.Add(e.reportInterval)))
+		deferred := !e.flushBy.IsZero() && !now.Before(e.flushBy)
+		if e.flushNow || deferred || report || e.session.Due(now) {
 			r.send(now, e)
 		}
 	}
@@ -331,48 +332,48 @@
 func (r *Runner) send(now time.Time, e *entry) {
 	f := &pb.WorkerFrame{News: e.unsent, Crashes: e.crashes}
 	e.crashes = nil
-	if e.stale {
+	if e.stateChanged {
 		f.State = r.state(now, e)
-		e.stale, e.reportedAt = false, now
+		e.stateChanged, e.reportedAt = false, now
 	}
-	f.AnswerAtOnce = e.late.ask(now)
-	// That it is left has to be acknowledged before the link is closed.
+	f.AnswerAtOnce = e.delay.probeDue(now)
+	// That the link is retiring must be acknowledged before it is closed.
 	retiring := f.State != nil && e.retiring
 	f.Seq, f.Ack = e.session.Send(now, len(f.News) > 0 || retiring || f.AnswerAtOnce)
-	e.late.sent(now, f.Seq)
+	e.delay.recordSent(now, f.Seq)
 	if retiring && e.retireSeq == 0 {
 		e.retireSeq = f.Seq
 	}
 	for _, n := range f.News {
-		if x := r.byOrder(e, n.Number); x != nil && n.State == pb.OrderState_ORDER_STATE_STARTED {
-			// It was mentioned, and has waited for a frame since.
-			n.RunMs = uint32(now.Sub(x.began).Milliseconds())
+		if x := r.runByOrder(e, n.Number); x != nil && n.State == pb.OrderState_ORDER_STATE_STARTED {
+			// The update was deferred: add the time that it has waited for a frame.
+			n.RunMs = uint32(now.Sub(x.startedAt).Milliseconds())
 		}
-		e.unacked = append(e.unacked, sentNews{f.Seq, n})
+		e.unacked = append(e.unacked, sentUpdate{f.Seq, n})
 	}
-	e.unsent, e.urgent, e.mentionBy = nil, false, time.Time{}
+	e.unsent, e.flushNow, e.flushBy = nil, false, time.Time{}
 	f.Clock = r.opts.Events.Stamp(now)
 	r.ready.Frames = append(r.ready.Frames, Out{Entry: e.incarnation, Epoch: e.session.Epoch(), Frame: f})
 }
 
-// heldFor says why no order of an entry may start.
-func (r *Runner) heldFor(e *entry) string {
+// heldReasonFor returns why no order of an entry may start.
+func (r *Runner) heldReasonFor(e *entry) string {
 	if e.retiring {
 		return HeldRetiring
 	}
-	return r.held()
+	return r.heldReason()
 }
 
 func (r *Runner) state(now time.Time, e *entry) *pb.WorkerState {
-	s := &pb.WorkerState{SeenOrder: e.seen, Held: r.heldFor(e)}
+	s := &pb.WorkerState{SeenOrder: e.lastOrder, Held: r.heldReasonFor(e)}
 	s.Accepting = s.Held == HeldNone
-	s.Clean = r.known && r.looked && !r.hasForeign()
+	s.Clean = r.known && r.polled && !r.hasOrphaned()
 	if r.known {
 		s.Worker, s.Service, s.Labels = r.worker.ID, r.worker.Service, r.worker.Labels
-		s.Capacity, s.Room = r.worker.Capacity.Message(), r.room().Room()
+		s.Capacity, s.Room = r.worker.Capacity.Message(), r.freeCapacity().Room()
 		s.ColdMs = uint32(r.worker.Cold.Milliseconds())
 		s.Queued = r.queuedWork()
-		for _, cpu := range r.frees(now) {
+		for _, cpu := range r.releaseForecast(now) {
 			s.Frees = append(s.Frees, uint32(cpu))
 		}
 	}
--- a/dispatch/runner/evacuate.go
+++ b/dispatch/runner/evacuate.go
@@ -9,12 +9,12 @@
 // Evacuated reports whether this agent's failure domain is known to be evacuated.
 func (r *Runner) Evacuated() bool { return r.evacuations.Has(r.opts.FailureDomain) }
 
-// setEvacuations takes in which failure domains are evacuated, as an entry knows them;
-// nil says nothing. In an evacuated domain nothing starts: what waits goes back to its
-// entries, and what runs goes on.
+// setEvacuations merges the evacuated failure domains that an entry knows of; nil carries no
+// information. In an evacuated domain nothing starts: queued orders are returned to their
+// entries, and runs in progress go on.
 //
-// The agent alone starts tasks, so it holds this on every path: orders on their way, what
-// waits for room, further attempts, and orders of entries that don't know yet.
+// The agent alone starts tasks, so enforcing it here covers every path: orders in transit,
+// queued orders, retries, and orders of entries that have not been notified yet.
 func (r *Runner) setEvacuations(now time.Time, from *entry, m *pb.Evacuations) {
 	before := r.Evacuated()
 	if !r.evacuations.Merge(m) {
@@ -28,7 +28,7 @@
 	if after {
 		event = "domain_evacuated"
 	}
-	r.decided(now, Decision{Event: event, Entry: from.name, Reason: r.opts.FailureDomain})
+	r.logDecision(now, Decision{Event: event, Entry: from.name, Reason: r.opts.FailureDomain})
 	r.flushQueue(now)
-	r.tellAtOnce()
+	r.reportStateNow()
 }
--- /dev/null
+++ b/dispatch/runner/incarnation.go
@@ -0,0 +1,247 @@
+package runner
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+
+	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/size"
+)
+
+// Life identifies one incarnation of a worker. A worker may start again under the same
+// identifier; it then has no state of its earlier incarnation, and its clock and all its
+// counters start anew.
+type Life struct {
+	ID string
+	// Born is when the incarnation started, in Unix milliseconds. It is zero where workers
+	// don't state it and have a new identifier in each incarnation.
+	Born int64
+}
+
+func (l Life) String() string {
+	if l.Born == 0 {
+		return l.ID
+	}
+	return l.ID + "@" + strconv.FormatInt(l.Born, 10)
+}
+
+// relation is how an incarnation relates to the current one.
+type relation uint8
+
+const (
+	same relation = iota
+	earlier
+	later
+	// unrelated: nothing shows which of the two came first.
+	unrelated
+)
+
+// relate compares an incarnation that is named in a message with the current one.
+func (r *Runner) relate(l Life) relation {
+	k := r.worker.Life
+	switch {
+	case l == k:
+		return same
+	case k.Born == 0 && l.ID != k.ID, l.Born == k.Born:
+		return unrelated
+	case l.Born < k.Born:
+		return earlier
+	}
+	return later
+}
+
+// isCurrent reports whether a call was made to the current incarnation.
+func (r *Runner) isCurrent(l Life) bool { return r.known && l == r.worker.Life }
+
+// Reported handles a worker's report about itself. It returns false for a report of another
+// incarnation than the one that answers, and for one that is out of date.
+func (r *Runner) Reported(now time.Time, w Worker) bool {
+	if w.Born == 0 && r.worker.Born > 0 {
+		// This worker states when it started, so the report isn't its own.
+		return false
+	}
+	if r.known {
+		switch r.relate(w.Life) {
+		case same:
+			return r.updateWorker(now, w)
+		case earlier:
+			return false
+		case unrelated:
+			if r.polled && !r.unresponsive {
+				// A delayed report of an incarnation that has ended: the current one answers.
+				return false
+			}
+		}
+		r.handleSuperseded(now, "a new incarnation of the worker reports")
+	}
+	r.adoptWorker(now, w, "reports")
+	return true
+}
+
+// Recalled handles the worker incarnation that an earlier agent process has recorded. It is
+// used only until a report arrives. Nothing starts until the worker answers a poll as that
+// incarnation; an answer of another incarnation means that it is gone.
+func (r *Runner) Recalled(now time.Time, w Worker) {
+	if r.known {
+		return
+	}
+	r.adoptWorker(now, w, "on record")
+}
+
+// updateWorker applies a later report of the current incarnation.
+func (r *Runner) updateWorker(now time.Time, w Worker) bool {
+	if w.Sequence < r.worker.Sequence {
+		return false
+	}
+	before := r.worker
+	r.worker = w
+	if w.Draining != before.Draining {
+		r.logDecision(now, Decision{Event: "worker_draining", Reason: r.heldReason()})
+	}
+	if w.Capacity != before.Capacity {
+		r.handleResize(now, before.Capacity)
+	}
+	r.flushQueue(now)
+	r.markChanged()
+	return true
+}
+
+// handleResize handles a change of the worker's capacity. Runs go on. Queued orders that can no
+// longer start in time are refused at once.
+func (r *Runner) handleResize(now time.Time, before size.Size) {
+	what := "grown"
+	if !before.FitsIn(r.worker.Capacity) {
+		what = "shrunk"
+	}
+	r.logDecision(now, Decision{Event: "worker_capacity", Reason: fmt.Sprintf("%s: %+v, was %+v", what, r.worker.Capacity, before)})
+	for _, x := range slices.Clone(r.queue) {
+		// Ending one order may have started the next.
+		if x.phase == queued && r.mustWait(x) && !r.mayWait(now, x) {
+			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+		}
+	}
+	r.startQueued(now)
+	r.reportStateNow()
+}
+
+// reportStateNow has the state reported to every entry without waiting for its report interval.
+func (r *Runner) reportStateNow() {
+	for _, e := range r.entries {
+		e.stateChanged, e.reportedAt = true, time.Time{}
+	}
+}
+
+// adoptWorker makes an incarnation of a worker the current one.
+func (r *Runner) adoptWorker(now time.Time, w Worker, how string) {
+	restarted := w.Born > 0 && w.ID == r.worker.ID
+	r.worker, r.known = w, true
+	r.polled, r.failedPolls, r.unresponsive, r.lastEndNumber, r.clock = false, 0, false, 0, 0
+	r.logDecision(now, Decision{Event: "worker_known", Reason: how + ": " + w.Life.String()})
+	if restarted {
+		r.fenceEarlierCalls()
+	} else {
+		// Delayed calls carry the old identifier, so this incarnation refuses them.
+		r.endUnfenced(now)
+	}
+	r.ready.Look = true
+	r.markChanged()
+}
+
+// fenceEarlierCalls makes an incarnation refuse the calls that were made to an earlier one with
+// the same identifier, from its first answer to a call with the higher token on. Runs that it
+// lists by then were started by such calls.
+func (r *Runner) fenceEarlierCalls() {
+	r.token++
+	r.callSeq++
+	r.recentRuns, r.recentTasks = make(map[string]uint32), nil
+	for _, x := range r.runList {
+		if x.phase == unfenced {
+			x.callSeq = r.callSeq
+		}
+	}
+}
+
+// checkIncarnation reports whether the current incarnation has answered a poll. If another one
+// has, it becomes the worker's incarnation: the call reached it while the current one was
+// believed to be alive.
+func (r *Runner) checkIncarnation(now time.Time, startMs int64) bool {
+	if startMs == r.worker.Born {
+		return true
+	}
+	r.handleSuperseded(now, "another incarnation of the worker answers")
+	r.worker.Born = startMs
+	return false
+}
+
+// Left records that a worker has announced its end. The message names no incarnation, so where
+// incarnations share an identifier it is applied only after the current one has reported that
+// it drains.
+func (r *Runner) Left(now time.Time, id string) {
+	if !r.known || r.worker.ID != id || r.worker.Born > 0 && !r.worker.Draining {
+		return
+	}
+	r.workerGone(now, "the worker left", unanswered, func(*run) string { return "the worker left" })
+}
+
+// workerGone handles the end of the current incarnation. The function unresolved selects the
+// runs that a later incarnation may have started, or may still start; see mayStartLater.
+func (r *Runner) workerGone(now time.Time, how string, unresolved func(*run) bool, why func(*run) string) {
+	if !r.known {
+		return
+	}
+	r.logDecision(now, Decision{Event: "worker_gone", Reason: how})
+	r.known, r.polled = false, false
+	r.loseRuns(now, unresolved, why)
+	r.flushQueue(now)
+	r.markChanged()
+}
+
+// loseRuns ends all runs, since nothing runs on the worker any more.
+func (r *Runner) loseRuns(now time.Time, unresolved func(*run) bool, why func(*run) string) {
+	for _, x := range slices.Clone(r.runList) {
+		switch {
+		case x.phase == queued || x.phase == unfenced:
+		case r.mayStartLater(x) && unresolved(x):
+			r.markUnfenced(now, x, why(x))
+		default:
+			r.end(now, x, pb.OrderState_ORDER_STATE_LOST, why(x))
+		}
+	}
+}
+
+// mayStartLater reports whether a start may be carried out after the end of the incarnation
+// that it was sent to: a later one has the same identifier and a clock of its own, so neither
+// the incarnation named in the call nor the end of its lease prevents it.
+func (r *Runner) mayStartLater(x *run) bool {
+	return r.worker.Born > 0 && !r.worker.Draining && !x.orphaned
+}
+
+// unanswered reports whether no answer shows which incarnation carried out a start, given that
+// no later incarnation has answered yet.
+func unanswered(x *run) bool { return x.phase == starting || x.phase == inDoubt || x.phase == fencing }
+
+// unlisted is like unanswered for the case that a later incarnation exists, possibly unnoticed
+// until now: the answers may be its own.
+func unlisted(x *run) bool { return unanswered(x) || !x.listed }
+
+// unfencedTimeout is how long after it was sent a call may still be carried out, with time to
+// spare.
+const unfencedTimeout = 30 * time.Second
+
+func (r *Runner) markUnfenced(now time.Time, x *run, why string) {
+	x.phase, x.lostReason, x.unfencedUntil = unfenced, why, now.Add(unfencedTimeout)
+	r.callSeq++
+	x.callSeq = r.callSeq
+	r.logDecision(now, Decision{Event: "run_unfenced", Task: x.task, Run: x.run, Entry: x.entryName(), Order: x.order, Reason: why})
+}
+
+// endUnfenced ends the unfenced runs once nothing can start them any more.
+func (r *Runner) endUnfenced(now time.Time) {
+	for _, x := range slices.Clone(r.runList) {
+		if x.phase == unfenced {
+			r.end(now, x, pb.OrderState_ORDER_STATE_LOST, x.lostReason)
+		}
+	}
+}
--- /dev/null
+++ b/dispatch/runner/incarnation_test.go
@@ -0,0 +1,348 @@
+package runner
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/size"
+)
+
+const startMs = 1_700_000_000_000
+
+func worker(startMs int64, change ...func(*Worker)) Worker {
+	w := Worker{Life: Life{"w1", startMs}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Sequence: 1}
+	for _, f := range change {
+		f(&w)
+	}
+	return w
+}
+
+// newIncarnationHarness returns a harness with a worker that states when it started.
+func newIncarnationHarness(t *testing.T, entries ...string) *harness {
+	h := newHarness(t, entries...)
+	h.r.Reported(h.now, worker(startMs))
+	h.startMs = startMs
+	h.poll()
+	h.updates = map[string][]*pb.OrderNews{}
+	return h
+}
+
+// restartWorker has the worker start again under its identifier and report itself.
+func (h *harness) restartWorker(at int64) {
+	h.running, h.endNumber, h.startMs = map[string]uint32{}, 0, at
+	h.r.Reported(h.now, worker(at))
+	h.ready()
+}
+
+// A delayed report of an earlier incarnation must not replace the current one.
+func TestReportsAreOrderedByIncarnation(t *testing.T) {
+	for name, c := range map[string]struct {
+		report Worker
+		want   bool
+	}{
+		"same incarnation":                      {worker(startMs), true},
+		"same incarnation, overtaken":           {worker(startMs, func(w *Worker) { w.Sequence = 0 }), false},
+		"earlier incarnation":                   {worker(startMs-1, func(w *Worker) { w.Sequence = 99 }), false},
+		"earlier incarnation, another id":       {worker(startMs-1, func(w *Worker) { w.ID = "w0" }), false},
+		"later incarnation, sequence restarted": {worker(startMs+1, func(w *Worker) { w.Sequence = 0 }), true},
+		"later incarnation, another id":         {worker(startMs+1, func(w *Worker) { w.ID = "w2" }), true},
+		"no start time":                         {worker(0, func(w *Worker) { w.Sequence = 99 }), false},
+		"no start time, another id":             {worker(0, func(w *Worker) { w.ID = "w2" }), false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newIncarnationHarness(t, "e1")
+			if got := h.r.Reported(h.now, c.report); got != c.want {
+				t.Errorf("accepted: %v, want %v", got, c.want)
+			}
+			want := worker(startMs)
+			if c.want {
+				want = c.report
+			}
+			if w, _ := h.r.Worker(); w.Life != want.Life || w.Sequence != want.Sequence {
+				t.Errorf("worker %v (report %d), want %v (%d)", w.Life, w.Sequence, want.Life, want.Sequence)
+			}
+		})
+	}
+}
+
+// Each incarnation numbers its ends anew: an end of the second incarnation must not be taken
+// for one that was seen in the first.
+func TestEndsOfLaterIncarnationAreHandled(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	for range 5 {
+		h.begin("e1", "t1", 1000)
+		h.end("t1", EndedDone)
+	}
+	h.restartWorker(startMs + 5000)
+	h.poll()
+	h.begin("e1", "t2", 1000)
+	h.end("t2", EndedDone)
+	h.wantNews("e1", 6, pb.OrderState_ORDER_STATE_DONE, "")
+}
+
+// A poll reaches another incarnation under the same identifier before that one has reported.
+// Its list says nothing about the earlier incarnation's runs except that they are gone.
+func TestAnswerOfAnotherIncarnationEndsCurrentOne(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.begin("e1", "t1", 1000)
+	h.wait(2 * startCrashWindow)
+	h.poll()
+	h.startMs = startMs + 1000
+	h.running = map[string]uint32{}
+	h.poll()
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, ReasonCrashedLater)
+	if _, known := h.r.Worker(); known {
+		t.Error("the earlier incarnation is still current")
+	}
+	h.order("e1", "t2", 1000)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	if h.r.Reported(h.now, worker(0)) {
+		t.Error("a report without start time was accepted")
+	}
+}
+
+// A poll that was sent while an earlier incarnation was believed to be alive must not make the
+// next one drop ends that the agent has not seen.
+func TestPollOfUnresponsiveWorkerMarksNoEndsSeen(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.begin("e1", "t1", 1000)
+	h.end("t1", EndedDone)
+	l, _ := h.r.NextLook(h.now, true)
+	if l.Seen != 1 {
+		t.Fatalf("seen %d, want 1", l.Seen)
+	}
+	h.failPolls()
+	if l, _ = h.r.NextLook(h.now, true); l.Seen != 0 {
+		t.Errorf("a poll of an unresponsive worker marks ends up to %d as seen", l.Seen)
+	}
+}
+
+// A start is unanswered when its worker crashes, and the next incarnation, which has the same
+// identifier, carries it out late. If the run were reported as lost at once, the task would run
+// twice at a time.
+func TestUnansweredStartIsHeldUntilNextIncarnationRefusesIt(t *testing.T) {
+	for name, c := range map[string]struct {
+		carriedOut bool
+		state      pb.OrderState
+	}{
+		"never carried out": {false, pb.OrderState_ORDER_STATE_LOST},
+		"carried out late":  {true, pb.OrderState_ORDER_STATE_DONE},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newIncarnationHarness(t, "e1")
+			r := h.order("e1", "t1", 1000)
+			l, _ := h.r.NextLook(h.now, true)
+			h.r.LookFailed(h.now, l, true)
+			h.wait(100 * time.Millisecond)
+			h.wantNoNews("e1", 1, pb.OrderState_ORDER_STATE_LOST)
+			h.restartWorker(startMs + 1000)
+			h.wantNoNews("e1", 1, pb.OrderState_ORDER_STATE_LOST)
+			if c.carriedOut {
+				h.running["t1"] = 1
+			}
+			l, _ = h.r.NextLook(h.now, false)
+			if l.Token <= r.Starts[0].Token {
+				t.Errorf("token %d of the poll of the new incarnation doesn't fence a start with %d", l.Token, r.Starts[0].Token)
+			}
+			h.answer(l)
+			if c.carriedOut {
+				h.end("t1", EndedDone)
+			}
+			h.wantNews("e1", 1, c.state, "")
+		})
+	}
+}
+
+// A worker with a new identifier in each incarnation refuses delayed calls to an earlier one,
+// so the run need not be held until it returns.
+func TestUnansweredStartIsLostWithUniqueIdentifier(t *testing.T) {
+	h := newHarness(t, "e1")
+	h.order("e1", "t1", 1000)
+	l, _ := h.r.NextLook(h.now, true)
+	h.r.LookFailed(h.now, l, true)
+	h.ready()
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, ReasonCrashed)
+}
+
+// The worker never returns: runs held for its next incarnation must not stay for ever.
+func TestUnansweredStartIsLostAfterTimeout(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.order("e1", "t1", 1000)
+	l, _ := h.r.NextLook(h.now, true)
+	h.r.LookFailed(h.now, l, true)
+	h.wait(unfencedTimeout + time.Second)
+	if len(h.r.runs) > 0 {
+		t.Error("the run is still held")
+	}
+}
+
+// Answers to calls that were made to an earlier incarnation arrive after the worker has
+// restarted.
+func TestAnswersOfEarlierIncarnationAreIgnored(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	l, _ := h.r.NextLook(h.now, true)
+	h.restartWorker(startMs + 1000)
+	h.poll()
+	h.begin("e1", "t1", 1000)
+	h.r.Looked(h.now, l, Seen{Born: startMs, Clock: time.Hour, Ended: []End{{Number: 9, Task: "t1", Run: 1, How: EndedFailed}}})
+	h.r.LookFailed(h.now, l, true)
+	h.r.StartAnswered(h.now, Start{Worker: l.Worker, Task: "t1", Run: 1}, OtherLife, time.Hour, "")
+	h.ready()
+	h.wantNoNews("e1", 1, pb.OrderState_ORDER_STATE_FAILED, pb.OrderState_ORDER_STATE_LOST)
+	if next, _ := h.r.NextLook(h.now, false); next.Until > h.clock()+h.times.Lease {
+		t.Errorf("lease until %v, by the clock of an earlier incarnation; the worker's clock shows %v", next.Until, h.clock())
+	}
+}
+
+// A leave message names no incarnation. One of an earlier incarnation must not end the current
+// one.
+func TestDelayedLeaveOfEarlierIncarnation(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.r.Left(h.now, "w1")
+	if _, known := h.r.Worker(); !known {
+		t.Error("a worker that isn't draining was considered gone")
+	}
+	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Draining = true }))
+	h.r.Left(h.now, "w1")
+	if _, known := h.r.Worker(); known {
+		t.Error("a draining worker's leave was not handled")
+	}
+}
+
+// Queued orders are checked against the worker's reduced capacity.
+func TestShrunkWorkerRefusesQueuedOrdersThatNoLongerFit(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.begin("e1", "t0", 3000)
+	h.order("e1", "large", 3500, waits(500))
+	h.order("e1", "small", 1500, waits(500))
+	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 3200 }))
+	h.ready()
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.wantNoNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED)
+	if got := h.states["e1"].Capacity.CpuMillis; got != 3200 {
+		t.Errorf("the entry received a capacity of %d", got)
+	}
+	h.order("e1", "other", 300)
+	h.wantNews("e1", 4, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.end("t0", EndedDone)
+	if got := h.started(); len(got) != 1 || got[0] != "small/1" {
+		t.Errorf("started %v, want small", got)
+	}
+}
+
+// The capacity falls below what is running: the runs go on and count until their ends are
+// listed, and nothing starts beside them.
+func TestRunsBeyondShrunkCapacityContinue(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.begin("e1", "t0", 3000)
+	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 1000 }))
+	h.ready()
+	if len(h.last.Stops) > 0 {
+		t.Error("a run was stopped")
+	}
+	h.order("e1", "t1", 500)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity = size.Size{} }))
+	h.order("e1", "t2", 500)
+	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.end("t0", EndedDone)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_DONE, "")
+}
+
+// Capacity that is restored is used as soon as the worker reports it.
+func TestGrownWorkerStartsQueuedOrders(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.begin("e1", "t0", 3000)
+	h.order("e1", "t1", 3000, waits(500))
+	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 6000 }))
+	h.ready()
+	if got := h.started(); len(got) != 1 || got[0] != "t1/1" {
+		t.Errorf("started %v, want t1", got)
+	}
+}
+
+// A worker crashes. All entries, including those that link later, must receive the tasks that
+// ran on it, whichever entry ordered them: another entry may be sent the job that crashed it.
+func TestCrashIsReportedToAllEntries(t *testing.T) {
+	h := newIncarnationHarness(t, "e1", "e2")
+	h.begin("e1", "long", 1000)
+	h.wait(2 * startCrashWindow)
+	h.poll()
+	h.begin("e1", "crashes", 1000)
+	h.wait(2 * startCrashWindow) // until it is noticed
+	l, _ := h.r.NextLook(h.now, true)
+	h.r.LookFailed(h.now, l, true)
+	h.ready()
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, ReasonCrashedLater)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_LOST, ReasonCrashed)
+	h.r.LinkUp(h.now, h.now, &pb.EntryGreeting{Entry: "e3", Incarnation: "e3"}, 1, h.now.UnixNano())
+	frames := h.last.Frames
+	frames = append(frames, h.ready().Frames...)
+	reported := map[string]int{}
+	for _, f := range frames {
+		for _, c := range f.Frame.Crashes {
+			if culprit := c.Task == "crashes"; c.Worker != (Life{"w1", startMs}).String() || c.AtStart != culprit || c.Alone != culprit {
+				t.Errorf("%s received %v", f.Entry, c)
+			}
+			reported[f.Entry]++
+		}
+	}
+	for _, e := range []string{"e1", "e2", "e3"} {
+		if reported[e] != 2 {
+			t.Errorf("%s received %d tasks, want 2", e, reported[e])
+		}
+	}
+}
+
+// A worker that was asked to leave ends during its runs: no task is to blame.
+func TestEndOfDrainingWorkerIsNoCrash(t *testing.T) {
+	h := newIncarnationHarness(t, "e1")
+	h.begin("e1", "t1", 1000)
+	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Draining = true }))
+	l, _ := h.r.NextLook(h.now, true)
+	h.r.LookFailed(h.now, l, true)
+	h.ready()
+	if len(h.r.crashes) > 0 {
+		t.Errorf("crashes %v", h.r.crashes)
+	}
+}
+
+// Several starts were in flight when the worker crashed. It is unknown which of them arrived,
+// so none is reported as a crash, except a single one without other recent starts.
+func TestStartInFlightIsNoCrashBesideOthers(t *testing.T) {
+	for _, c := range []struct{ unanswered, begun, reported, alone int }{
+		{1, 0, 1, 1}, {2, 0, 0, 0}, {1, 1, 1, 1}, {2, 2, 2, 0},
+	} {
+		h := newIncarnationHarness(t, "e1")
+		for i := range c.begun {
+			h.begin("e1", fmt.Sprint("begun", i), 100)
+		}
+		for i := range c.unanswered {
+			h.order("e1", fmt.Sprint("sent", i), 100)
+		}
+		reported, alone := h.r.crashReports(), 0
+		for _, m := range reported {
+			if m.Alone {
+				alone++
+			}
+		}
+		if len(reported) != c.reported || alone != c.alone {
+			t.Errorf("%+v: reported %v", c, reported)
+		}
+	}
+}
+
+// A report of another sender states a start time for a worker that states none. Because of it,
+// the worker's own reports must not be rejected for ever.
+func TestWorkerWithoutStartTimeOutlivesFalseReport(t *testing.T) {
+	h := newHarness(t, "e1")
+	h.r.Reported(h.now, worker(startMs))
+	h.poll()
+	if !h.r.Reported(h.now, worker(0)) {
+		t.Fatal("its own report is not accepted")
+	}
+	h.poll()
+	h.begin("e1", "t1", 1000)
+}
--- a/dispatch/runner/messages.go
+++ b/dispatch/runner/messages.go
@@ -7,7 +7,7 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// Decision is one decision for the log.
+// Decision is one decision, for the log.
 type Decision struct {
 	Event  string
 	Task   string
@@ -15,14 +15,15 @@
 	Entry  string
 	Order  uint64
 	Reason string
-	// Age of what the decision rests on: the last look at the worker.
+	// Age is the time since the last answered poll of the worker, on which the decision is
+	// based.
 	Age time.Duration
 	// Elapsed is how long the run lasted.
 	Elapsed time.Duration
 	Free    size.Size
 }
 
-// Worker is what a worker reports about itself.
+// Worker is a worker's report about itself.
 type Worker struct {
 	Life
 	Service  string
@@ -39,12 +40,12 @@
 	Task    string
 	Run     uint32
 	Payload string
-	// Until is on the worker's clock.
+	// Until is the end of the lease on the worker's clock.
 	Until time.Duration
 	Token uint64
 }
 
-// Stop asks the driver to stop a run. Its answer must be reported.
+// Stop asks the driver to stop a run. The driver must report the answer.
 type Stop struct {
 	Worker Life
 	Task   string
@@ -52,20 +53,21 @@
 	Token  uint64
 }
 
-// Look asks the driver to renew the lease and to read what runs and what ended.
+// Look asks the driver to renew the lease and to read which runs are in progress and which have
+// ended.
 type Look struct {
 	Worker Life
-	// Until is on the worker's clock; zero renews nothing.
+	// Until is the end of the lease on the worker's clock; zero renews nothing.
 	Until time.Duration
 	Token uint64
-	// Seen is the number of the last end taken note of.
+	// Seen is the number of the last end recorded.
 	Seen uint64
-	// Wait is how long the worker may wait for an end before it answers, and Slack how
-	// much longer the call may take.
+	// Wait is how long the worker may wait for an end before it answers. Slack is how much
+	// longer the call may take.
 	Wait, Slack time.Duration
-	// number orders looks and starts.
-	number uint64
-	sent   time.Time
+	// callSeq orders polls and answered starts and stops.
+	callSeq uint64
+	sent    time.Time
 }
 
 // Out is a frame for an entry.
@@ -79,13 +81,12 @@
 type Ready struct {
 	Starts []Start
 	Stops  []Stop
-	// Look asks for a look at once, beside the one that may be waiting.
+	// Look asks for a poll at once, in addition to one that may be waiting.
 	Look   bool
 	Frames []Out
-	// Redial lists entries, by incarnation, whose link must be closed and opened
-	// anew.
+	// Redial lists the entries, by incarnation, whose link must be closed and opened again.
 	Redial []string
-	// Closed lists entries, by incarnation, whose link isn't used any more and must be
+	// Closed lists the entries, by incarnation, whose link is no longer used and must be
 	// closed; see Retire.
 	Closed []string
 }
--- /dev/null
+++ b/dispatch/runner/poll.go
@@ -0,0 +1,324 @@
+package runner
+
+import (
+	"slices"
+	"time"
+
+	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+)
+
+const (
+	// pollInterval is the time between two polls of the worker while something runs there. A
+	// poll renews the lease and reads the progress of the tasks. A task that stands still is
+	// noticed after one poll.
+	pollInterval = 50 * time.Millisecond
+	// pollSlack is how much longer than its wait a poll may take. A machine that has no
+	// processor time for most of a tenth of a second answers the next poll.
+	pollSlack = 60 * time.Millisecond
+	// lossyPollInterval and lossyPollSlack replace them while calls get lost, so that an end is
+	// received with the first poll that isn't lost. Three polls are made instead of one.
+	lossyPollInterval = 20 * time.Millisecond
+	lossyPollSlack    = 20 * time.Millisecond
+	// lossyPeriod is how long after a lost call further losses are expected.
+	lossyPeriod = 2 * time.Second
+	// maxFailedPolls is how many consecutive failed polls make the worker unresponsive. If one
+	// call in ten is lost, three in a row are lost one time in 1,000.
+	maxFailedPolls = 3
+	// pollsPerLease bounds the time between two polls of an idle worker: the lease of an order
+	// that starts just after one poll must be renewed by the next.
+	pollsPerLease = 2
+	// AnswerWithin is the timeout of a call to the worker on the same machine, which normally
+	// takes a millisecond or two. Calls without an answer are followed up by polls, so a short
+	// timeout costs little, whereas a longer one delays tasks.
+	AnswerWithin = 40 * time.Millisecond
+	// stallFactor is how many times longer than expected a run must take, at its pace so far,
+	// to be reported as stalled. Estimates alone are off by half in either direction.
+	stallFactor = 2.5
+	// stallSlack keeps short runs, whose start takes a share of their time, from being reported
+	// as stalled.
+	stallSlack = 30 * time.Millisecond
+	// minStallElapsed is the run time before which progress is not judged: a task that has only
+	// just started shows none.
+	minStallElapsed = 40 * time.Millisecond
+	// reliablePercent is the progress from which on rounding and delays change the estimated
+	// run time by a tenth at most. A run that has made less progress after reliableElapsed
+	// lasts three seconds or more, so its progress is judged as well.
+	reliablePercent = 10
+	reliableElapsed = 300 * time.Millisecond
+	// maxProgressAge is the maximum age of a progress value when it is handled, unless the
+	// processor is held up.
+	maxProgressAge = 20 * time.Millisecond
+)
+
+// LookVerdict is the outcome of a poll.
+type LookVerdict uint8
+
+// Outcomes of polls.
+const (
+	LookAnswered LookVerdict = iota
+	LookUnanswered
+	// LookRefused means that nothing listens at the worker's address.
+	LookRefused
+	LookFenced
+	LookOtherLife
+)
+
+// Row is one run in the worker's list.
+type Row struct {
+	Task    string
+	Run     uint32
+	Percent int
+}
+
+// Ending is how a run ended, as the worker reports it.
+type Ending uint8
+
+// Ways in which a run ends.
+const (
+	EndedDone Ending = iota
+	EndedFailed
+	EndedStopped
+	// EndedLapsed means that the lease ran out, or that something else aborted the run.
+	EndedLapsed
+)
+
+// End is the end of a run in the worker's list.
+type End struct {
+	Number uint64
+	Task   string
+	Run    uint32
+	How    Ending
+}
+
+// Seen is the worker's answer to a poll.
+type Seen struct {
+	// Born is when the answering incarnation started; see Life.
+	Born    int64
+	Clock   time.Duration
+	Running []Row
+	Ended   []End
+}
+
+// workerNow returns the time on the worker's clock. It is never ahead of that clock by more
+// than a call takes.
+func (r *Runner) workerNow(now time.Time) time.Duration { return r.clock + now.Sub(r.clockAt) }
+
+// leaseEnd returns the end of a lease that is requested now, on the worker's clock.
+func (r *Runner) leaseEnd(now time.Time) time.Duration { return r.workerNow(now) + r.opts.Times.Lease }
+
+// updateClock records the worker's clock from any answer.
+func (r *Runner) updateClock(now time.Time, clock time.Duration) {
+	if clock > 0 {
+		r.clock, r.clockAt = clock, now
+	}
+}
+
+// NextLook returns the poll to make now, or false while no worker is known. Waiting polls,
+// which the worker answers when a run ends, are made one after the other; other polls don't
+// wait for an end.
+func (r *Runner) NextLook(now time.Time, waiting bool) (Look, bool) {
+	if !r.known {
+		return Look{}, false
+	}
+	l := Look{Worker: r.worker.Life, Token: r.token, Seen: r.lastEndNumber, callSeq: r.callSeq, sent: now}
+	if r.unresponsive {
+		// The worker's next incarnation may answer. It numbers its ends anew, so none of them
+		// may be marked as seen.
+		l.Seen = 0
+	}
+	if r.clock > 0 && !r.hasOrphaned() && !r.unresponsive {
+		// Leases are left to lapse for runs that can't be stopped: those of an earlier process,
+		// and those on an unresponsive worker, whose tasks may then run elsewhere.
+		l.Until = r.leaseEnd(now)
+		r.leaseRenewedAt = now
+	}
+	l.Slack = pollSlack
+	lossy := now.Before(r.lossyUntil)
+	if lossy {
+		l.Slack = lossyPollSlack
+	}
+	switch {
+	case !waiting || !r.polled || r.unresponsive:
+	case r.Running() == 0:
+		l.Wait = r.opts.Times.Lease / pollsPerLease
+	case lossy:
+		l.Wait = lossyPollInterval
+	default:
+		l.Wait = pollInterval
+	}
+	return l, true
+}
+
+func (r *Runner) hasOrphaned() bool {
+	return slices.ContainsFunc(r.runList, func(x *run) bool { return x.orphaned })
+}
+
+// Looked handles the answer to a poll.
+func (r *Runner) Looked(now time.Time, l Look, s Seen) {
+	if !r.isCurrent(l.Worker) || !r.checkIncarnation(now, s.Born) {
+		return
+	}
+	r.updateClock(now, s.Clock)
+	r.polledAt = now
+	recovered := r.unresponsive || !r.polled
+	r.unresponsive, r.polled, r.failedPolls = false, true, 0
+	if l.sent.After(r.answeredPollSent) {
+		r.answeredPollSent = l.sent
+	}
+	if recovered {
+		r.logDecision(now, Decision{Event: "worker_answers", Reason: r.worker.Life.String()})
+	}
+	for _, e := range s.Ended {
+		r.handleEnd(now, e)
+	}
+	for _, row := range s.Running {
+		r.handleListed(now, l, row)
+	}
+	r.handleUnlisted(now, l, s)
+	if recovered {
+		r.markChanged()
+	}
+	r.startQueued(now)
+}
+
+func (r *Runner) handleEnd(now time.Time, e End) {
+	if e.Number <= r.lastEndNumber {
+		return
+	}
+	r.lastEndNumber = e.Number
+	x := r.runs[e.Task]
+	if x == nil || x.run != e.Run || x.phase == queued {
+		return
+	}
+	switch e.How {
+	case EndedDone:
+		r.end(now, x, pb.OrderState_ORDER_STATE_DONE, "")
+	case EndedFailed:
+		r.end(now, x, pb.OrderState_ORDER_STATE_FAILED, "")
+	case EndedStopped:
+		r.end(now, x, pb.OrderState_ORDER_STATE_STOPPED, "")
+	default:
+		r.end(now, x, pb.OrderState_ORDER_STATE_LOST, "the lease has lapsed")
+	}
+}
+
+// handleListed handles a run that the worker lists as running.
+func (r *Runner) handleListed(now time.Time, l Look, row Row) {
+	x := r.runs[row.Task]
+	if x != nil && x.run == row.Run {
+		x.listed = true
+	}
+	switch {
+	case x == nil && r.recentRuns[row.Task] >= row.Run:
+		// The answer to an older poll, or a run that is being stopped.
+	case x == nil:
+		// An earlier process started it, or an abandoned order was carried out late. Its size
+		// is unknown, so nothing may start beside it.
+		x = &run{task: row.Task, run: row.Run, orphaned: true, phase: stopping}
+		r.runs[x.task] = x
+		r.runList = append(r.runList, x)
+		// The process that renewed its lease ended before this poll at the latest.
+		r.leaseRenewedAt = now
+		r.logDecision(now, Decision{Event: "run_foreign", Task: x.task, Run: x.run})
+		r.flushQueue(now)
+		r.sendStop(now, x)
+		r.markChanged()
+	case x.run != row.Run:
+		// The end of the run that is listed comes with a later answer.
+	case (x.phase == inDoubt || x.phase == unfenced) && l.callSeq >= x.callSeq:
+		r.runStarted(now, x)
+	case x.phase == running && row.Percent >= 0:
+		r.checkProgress(now, x, row.Percent)
+	}
+}
+
+// checkProgress reports a run that is much slower than expected, or that can't end before its
+// job's deadline.
+func (r *Runner) checkProgress(now time.Time, x *run, percent int) {
+	elapsed := now.Sub(x.startedAt)
+	// The percentage is rounded down: the run may be almost one percent further.
+	minTotal := elapsed * 100 / time.Duration(min(percent, 99)+1)
+	if percent >= reliablePercent || elapsed >= reliableElapsed {
+		x.estimatedTotal = minTotal
+	}
+	slow := minTotal >= time.Duration(stallFactor*float64(x.expected))+stallSlack
+	overrunsDeadline := (percent >= reliablePercent || elapsed >= reliableElapsed) && x.startedAt.Add(minTotal-maxProgressAge).After(x.deadline)
+	if elapsed < max(x.nextStallReport, minStallElapsed) || !slow && !overrunsDeadline {
+		return
+	}
+	x.nextStallReport = elapsed * 3 / 2
+	remaining := minTotal - elapsed
+	x.entry.notify(&pb.OrderNews{
+		Number: x.order, State: pb.OrderState_ORDER_STATE_STALLED,
+		RunMs: uint32(elapsed.Milliseconds()), RemainingMs: uint32(remaining.Milliseconds()),
+	})
+	r.logDecision(now, Decision{Event: "run_stalled", Task: x.task, Run: x.run, Entry: x.entryName(), Order: x.order, Elapsed: elapsed})
+}
+
+// handleUnlisted handles the runs that a poll does not list although it began after their start
+// or stop was answered. Such a run has ended, and its end was recorded before, or it never
+// began.
+func (r *Runner) handleUnlisted(now time.Time, l Look, s Seen) {
+	for _, x := range slices.Clone(r.runList) {
+		if x.phase == queued || x.phase == starting || r.runs[x.task] != x || l.callSeq < x.callSeq {
+			continue
+		}
+		if slices.ContainsFunc(s.Running, func(row Row) bool { return row.Task == x.task && row.Run == x.run }) {
+			continue
+		}
+		switch {
+		case x.phase == unfenced:
+			r.end(now, x, pb.OrderState_ORDER_STATE_LOST, x.lostReason)
+		case x.phase == inDoubt:
+			x.phase = fencing
+			r.sendStop(now, x)
+		case x.phase == fencing && x.stopAnswered:
+			reason := ReasonUnanswered
+			if !x.wanted {
+				reason = ReasonStopped
+			}
+			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, reason)
+		case x.phase == stopping && (x.stopAnswered || x.orphaned):
+			r.end(now, x, pb.OrderState_ORDER_STATE_STOPPED, "")
+		case x.phase == running:
+			r.end(now, x, pb.OrderState_ORDER_STATE_LOST, "not listed any more")
+		}
+	}
+}
+
+// LookFailed handles a poll without an answer. If refused is set, nothing listens at the
+// worker's address: its process has ended.
+func (r *Runner) LookFailed(now time.Time, l Look, refused bool) {
+	if !r.isCurrent(l.Worker) {
+		return
+	}
+	if refused {
+		r.handleCrash(now, "nothing listens at the worker's address")
+		return
+	}
+	if l.sent.Before(r.answeredPollSent) {
+		return // the worker has answered a later one
+	}
+	r.failedPolls++
+	r.lossyUntil = now.Add(lossyPeriod)
+	if r.failedPolls < maxFailedPolls && r.polled {
+		r.ready.Look = true
+		return
+	}
+	if !r.unresponsive {
+		r.logDecision(now, Decision{Event: "worker_silent", Reason: "looks had no answer"})
+		r.unresponsive = true
+		r.flushQueue(now)
+		r.markChanged()
+	}
+}
+
+// LookFenced handles a poll that the worker refused because it knows a higher token.
+func (r *Runner) LookFenced(now time.Time, l Look, clock time.Duration) {
+	if !r.isCurrent(l.Worker) {
+		return
+	}
+	r.updateClock(now, clock)
+	r.raiseToken()
+	r.ready.Look = true
+}
--- a/dispatch/runner/queue.go
+++ b/dispatch/runner/queue.go
@@ -9,32 +9,32 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// mustWait reports whether an order can't start at once. One that fits still
-// doesn't overtake what waits and goes before it.
+// mustWait reports whether an order can't start at once. An order that fits must still wait if
+// a queued one precedes it.
 func (r *Runner) mustWait(x *run) bool {
-	return !x.size.FitsIn(r.room()) || len(r.queue) > 0 && goesBefore(r.queue[0], x)
+	return !x.size.FitsIn(r.freeCapacity()) || len(r.queue) > 0 && precedes(r.queue[0], x)
 }
 
-// mayWait reports whether room is expected in the time that an order may wait. More
-// urgent orders pass those that wait already; what then waits too long goes back to
-// its entry.
+// mayWait reports whether enough capacity is expected to become free within the time that an
+// order may wait. Orders of higher priority overtake queued ones; those that then wait too long
+// are refused to their entry.
 func (r *Runner) mayWait(now time.Time, x *run) bool {
-	if !x.size.FitsIn(r.worker.Capacity) || !x.waitEnd.After(now) {
+	if !x.size.FitsIn(r.worker.Capacity) || !x.waitUntil.After(now) {
 		return false
 	}
-	need := x.size.CPUMillis - r.room().CPUMillis
+	need := x.size.CPUMillis - r.freeCapacity().CPUMillis
 	for _, y := range r.queue {
-		if goesBefore(y, x) {
+		if precedes(y, x) {
 			need += y.size.CPUMillis
 		}
 	}
-	frees := r.frees(now)
-	return !now.Add(frees.Wait(need)).After(x.waitEnd)
+	frees := r.releaseForecast(now)
+	return !now.Add(frees.Wait(need)).After(x.waitUntil)
 }
 
-// goesBefore orders what waits: what was taken in late last, then by urgency, then by
-// the time by which it must start for its job to end within its objective.
-func goesBefore(a, b *run) bool {
+// precedes defines the order of the queue: late orders last, then by priority, then by the time
+// by which an order must start for its job to meet its latency objective.
+func precedes(a, b *run) bool {
 	switch {
 	case a.late != b.late:
 		return b.late
@@ -47,7 +47,7 @@
 func (r *Runner) enqueue(x *run) {
 	x.phase = queued
 	pos, _ := slices.BinarySearchFunc(r.queue, x, func(a, b *run) int {
-		if goesBefore(b, a) {
+		if precedes(b, a) {
 			return 1
 		}
 		return -1
@@ -55,41 +55,41 @@
 	r.queue = slices.Insert(r.queue, pos, x)
 }
 
-// frees is what is expected to come free, by the runs' progress or, before they
-// show any, by their estimates.
-func (r *Runner) frees(now time.Time) *forecast.Frees {
+// releaseForecast predicts when capacity becomes free, from the progress of the runs or, before
+// they show any, from their estimates.
+func (r *Runner) releaseForecast(now time.Time) *forecast.Frees {
 	var f forecast.Frees
-	for _, x := range r.order {
-		if x.phase == queued || x.phase == unfenced || x.foreign {
+	for _, x := range r.runList {
+		if x.phase == queued || x.phase == unfenced || x.orphaned {
 			continue
 		}
-		total := x.total
+		total := x.estimatedTotal
 		if total == 0 {
 			total = x.expected
 		}
-		left := max(total-now.Sub(x.began), overdue)
+		remaining := max(total-now.Sub(x.startedAt), overdueAllowance)
 		if x.phase == stopping || x.phase == fencing {
-			left = r.opts.Times.Stop
+			remaining = r.opts.Times.Stop
 		}
-		f.Add(left, x.size.CPUMillis)
+		f.Add(remaining, x.size.CPUMillis)
 	}
 	return &f
 }
 
-// overdue is how much longer a run is taken to last that should have ended.
-const overdue = 20 * time.Millisecond
+// overdueAllowance is how much longer a run is expected to take that should have ended.
+const overdueAllowance = 20 * time.Millisecond
 
-// startQueued starts what waits, in order, as far as there is room.
+// startQueued starts queued orders, in order, as long as they fit.
 func (r *Runner) startQueued(now time.Time) {
-	for len(r.queue) > 0 && r.held() == HeldNone {
+	for len(r.queue) > 0 && r.heldReason() == HeldNone {
 		x := r.nextQueued(now)
-		if !now.Before(x.waitEnd) || r.mute(now, x.entry) {
-			// A process that was frozen takes in ends before its timers: the entry may
-			// have had the task run elsewhere by now.
+		if !now.Before(x.waitUntil) || r.timedOut(now, x.entry) {
+			// A process that was frozen handles ends before its timers, and the entry may have
+			// had the task run elsewhere by now.
 			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaited)
 			continue
 		}
-		if !x.size.FitsIn(r.room()) {
+		if !x.size.FitsIn(r.freeCapacity()) {
 			return
 		}
 		r.queue = slices.DeleteFunc(r.queue, func(y *run) bool { return y == x })
@@ -97,11 +97,12 @@
 	}
 }
 
-// nextQueued is what starts next of what waits: the first in order or, ahead of it, a
-// less urgent run that must start earlier, while all that is more urgent and waits here
-// is still expected to start in time.
+// nextQueued returns the queued order to start next: the head of the queue or, ahead of it, an
+// order of lower priority that must start earlier, provided that all queued orders of higher
+// priority are still expected to start in time.
 //
-// Urgent work of short tasks often has time to spare while the start of a longer task is due.
+// High-priority orders of short tasks often have time to spare while the start of a longer task
+// is due.
 func (r *Runner) nextQueued(now time.Time) *run {
 	head, next := r.queue[0], r.queue[0]
 	for _, x := range r.queue {
@@ -109,28 +110,29 @@
 			next = x
 		}
 	}
-	if r.opts.Without.Has(without.Ahead) || next.priority == head.priority || !next.size.FitsIn(r.room()) {
+	if r.opts.Without.Has(without.Ahead) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
 		return head
 	}
-	frees := r.frees(now)
-	need := next.size.CPUMillis - r.room().CPUMillis
+	frees := r.releaseForecast(now)
+	need := next.size.CPUMillis - r.freeCapacity().CPUMillis
 	for _, y := range r.queue {
 		if y.priority >= next.priority || y.late {
 			break
 		}
 		need += y.size.CPUMillis
-		if now.Add(frees.Wait(need) + aheadMargin).After(y.startBy) {
+		if now.Add(frees.Wait(need) + overtakeMargin).After(y.startBy) {
 			return head
 		}
 	}
 	return next
 }
 
-// aheadMargin is the time that more urgent work must have to spare, for what is about
-// to come: a forecast of 11 to 21 ms is 15 ms too short one time in four.
-const aheadMargin = 15 * time.Millisecond
+// overtakeMargin is the time that orders of higher priority must have to spare, to allow for
+// orders that are about to arrive. A forecast of 11 to 21 ms is 15 ms too short one time in
+// four.
+const overtakeMargin = 15 * time.Millisecond
 
-// queuedWork sums up what waits, what goes first coming first.
+// queuedWork returns the queued work per priority, in the order of the queue.
 func (r *Runner) queuedWork() []*pb.QueuedWork {
 	var out []*pb.QueuedWork
 	for _, x := range r.queue {
--- a/dispatch/runner/recall_test.go
+++ b/dispatch/runner/recall_test.go
@@ -8,67 +8,67 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// recalledBed is the bed of an agent process that has begun beside a worker that goes on,
-// before the worker reports.
-func recalledBed(t *testing.T, entries ...string) *bed {
-	b := newBed(t, entries...)
-	b.r.crashed(b.now, "test")
-	b.ready()
-	b.r.Recalled(b.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
-	b.ready()
-	return b
+// newRecalledHarness returns a harness of an agent process that was started beside a running
+// worker, before the worker reports.
+func newRecalledHarness(t *testing.T, entries ...string) *harness {
+	h := newHarness(t, entries...)
+	h.r.handleCrash(h.now, "test")
+	h.ready()
+	h.r.Recalled(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
+	h.ready()
+	return h
 }
 
-// All processes are killed while workers go on. An agent must not wait for its worker's
-// next report, a second or more, while callers come back: the life on record serves as
-// soon as the worker has answered as that life.
+// All agent processes are killed while workers go on. An agent must not wait for its worker's
+// next report, a second or more, while callers reconnect: the recorded incarnation is used as
+// soon as the worker has answered as that incarnation.
 func TestRecalledWorkerServesOnceItHasAnswered(t *testing.T) {
-	b := recalledBed(t, "e1")
-	b.order("e1", "t1", 1000)
-	b.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
-	b.look()
-	b.begin("e1", "t2", 1000)
-	b.r.Reported(b.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Sequence: 7})
-	b.order("e1", "t3", 3500)
-	b.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h := newRecalledHarness(t, "e1")
+	h.order("e1", "t1", 1000)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.poll()
+	h.begin("e1", "t2", 1000)
+	h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Sequence: 7})
+	h.order("e1", "t3", 3500)
+	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
 }
 
-// The worker has crashed meanwhile, and another life answers at its address, perhaps a
-// smaller one. What is on record says nothing of it.
-func TestAnotherLifeThanThatOnRecordIsNotUsed(t *testing.T) {
-	b := recalledBed(t, "e1")
-	l, _ := b.r.NextLook(b.now, false)
-	b.r.LookFailed(b.now, l, true)
-	b.ready()
-	b.order("e1", "t1", 1000)
-	b.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
-	if s := b.states["e1"]; s.Held != HeldUnknown {
-		t.Errorf("held %q, want %q", s.Held, HeldUnknown)
+// The worker has crashed meanwhile, and another incarnation, perhaps with less capacity,
+// answers at its address. The record does not apply to it.
+func TestUnrecordedIncarnationIsNotUsed(t *testing.T) {
+	h := newRecalledHarness(t, "e1")
+	l, _ := h.r.NextLook(h.now, false)
+	h.r.LookFailed(h.now, l, true)
+	h.ready()
+	h.order("e1", "t1", 1000)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	if s := h.states["e1"]; s.Held != HeldNoWorker {
+		t.Errorf("held %q, want %q", s.Held, HeldNoWorker)
 	}
-	b.r.Reported(b.now, Worker{Life: Life{ID: "w2"}, Service: "s", Capacity: size.Size{CPUMillis: 2000, MemoryMB: 1000}})
-	b.look()
-	b.order("e1", "t2", 3000)
-	b.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.r.Reported(h.now, Worker{Life: Life{ID: "w2"}, Service: "s", Capacity: size.Size{CPUMillis: 2000, MemoryMB: 1000}})
+	h.poll()
+	h.order("e1", "t2", 3000)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
 }
 
-// The record is read late, when the worker has reported. The report is what counts: it
-// may say that the worker leaves.
-func TestReportGoesBeforeTheRecord(t *testing.T) {
-	b := newBed(t, "e1")
-	b.r.Reported(b.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Draining: true, Sequence: 2})
-	b.r.Recalled(b.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
-	b.now = b.now.Add(time.Millisecond)
-	b.look()
-	b.order("e1", "t1", 1000)
-	b.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+// The record is read after the worker has reported. The report has priority: it may say that
+// the worker is draining.
+func TestReportHasPriorityOverRecord(t *testing.T) {
+	h := newHarness(t, "e1")
+	h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Draining: true, Sequence: 2})
+	h.r.Recalled(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
+	h.now = h.now.Add(time.Millisecond)
+	h.poll()
+	h.order("e1", "t1", 1000)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
 }
 
-// Runs of the process before go on at the recalled worker. Their sizes are not known, so
+// Runs of the previous agent process go on at the recalled worker. Their sizes are unknown, so
 // nothing starts beside them until they have ended.
-func TestRecalledWorkerWithRunsStartsNothingBesideThem(t *testing.T) {
-	b := recalledBed(t, "e1")
-	b.running["old"] = 3
-	b.look()
-	b.order("e1", "t1", 100)
-	b.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+func TestRecalledWorkerStartsNothingBesideItsRuns(t *testing.T) {
+	h := newRecalledHarness(t, "e1")
+	h.running["old"] = 3
+	h.poll()
+	h.order("e1", "t1", 100)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
 }
--- a/dispatch/runner/run.go
+++ b/dispatch/runner/run.go
@@ -8,20 +8,20 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// phase is how far a run has come.
+// phase is how far a run has progressed.
 type phase uint8
 
 const (
 	queued   phase = iota
-	starting       // the start is sent
-	doubtful       // the start was not answered
+	starting       // the start was sent
+	inDoubt        // the start was not answered
 	running
-	// fencing: the start was not answered and a stop is sent, which proves that
-	// the run never begins, or ends it.
+	// fencing: the start was not answered and a stop was sent, which proves that the run never
+	// begins, or ends it.
 	fencing
 	stopping
-	// unfenced: the start was not answered, and nothing rules out yet that it is carried
-	// out later: by the worker's next life, or by this one once it can be reached.
+	// unfenced: the start was not answered, and it may still be carried out later: by the
+	// worker's next incarnation, or by the current one once it can be reached.
 	unfenced
 )
 
@@ -33,72 +33,73 @@
 	priority uint32
 	expected time.Duration
 
-	entry  *entry // nil: of an earlier process, not ordered here
-	order  uint64
-	phase  phase
-	number uint64 // of the look count when the start was answered
+	entry   *entry // nil for a run of an earlier process
+	order   uint64
+	phase   phase
+	callSeq uint64 // Runner.callSeq when the start or stop was answered
 
-	arrived    time.Time
-	waitEnd    time.Time
-	limit      time.Time // when nobody waits for the result any more
-	startBy    time.Time // to end within its job's objective
-	late       bool      // its job was taken in though it ends later
-	sentAt     time.Time // start or stop, for repeats
-	sends      int       // of its start
-	unanswered int       // of these
-	began      time.Time
-	// total is how long the run lasts at its pace so far; zero: not known yet.
-	total time.Duration
-	// reportAt is how long the run must have lasted to be reported as stalled again.
-	reportAt time.Duration
-	wanted   bool // false: its entry has asked to stop it
-	listed   bool // the life known has listed it
-	stopped  bool // the worker has answered a stop
-	foreign  bool
-	lost     string    // why, of an unfenced run
-	fenceBy  time.Time // when an unfenced run is taken for lost all the same
+	arrived         time.Time
+	waitUntil       time.Time
+	deadline        time.Time // of the job; nobody waits for the result afterwards
+	startBy         time.Time // to meet the job's latency objective
+	late            bool      // admitted though expected to miss its objective
+	sentAt          time.Time // when the start or stop was last sent
+	sends           int       // of the start, including resends
+	unansweredSends int       // sends of the start that had no answer
+	startedAt       time.Time
+	// estimatedTotal is the run time predicted from the progress so far; zero if not known yet.
+	estimatedTotal time.Duration
+	// nextStallReport is the elapsed run time at which the run may be reported as stalled
+	// again.
+	nextStallReport time.Duration
+	wanted          bool // false once its entry has asked to stop it
+	listed          bool // the current incarnation has listed it
+	stopAnswered    bool // the worker has answered a stop
+	orphaned        bool
+	lostReason      string    // why an unfenced run is lost
+	unfencedUntil   time.Time // when an unfenced run is considered lost
 }
 
-// maxRecent bounds the ends remembered: some seconds of the shortest tasks.
-const maxRecent = 512
+// maxRecentRuns bounds the remembered ends: some seconds of the shortest tasks.
+const maxRecentRuns = 512
 
-// remember keeps that a run of the task has ended.
-func (r *Runner) remember(x *run) {
-	if _, ok := r.recent[x.task]; !ok {
-		if len(r.recentList) >= maxRecent {
-			delete(r.recent, r.recentList[0])
-			r.recentList = r.recentList[1:]
+// recordEnded records that a run of the task has ended.
+func (r *Runner) recordEnded(x *run) {
+	if _, ok := r.recentRuns[x.task]; !ok {
+		if len(r.recentTasks) >= maxRecentRuns {
+			delete(r.recentRuns, r.recentTasks[0])
+			r.recentTasks = r.recentTasks[1:]
 		}
-		r.recentList = append(r.recentList, x.task)
+		r.recentTasks = append(r.recentTasks, x.task)
 	}
-	r.recent[x.task] = max(x.run, r.recent[x.task])
+	r.recentRuns[x.task] = max(x.run, r.recentRuns[x.task])
 }
 
-func (r *Runner) forget(x *run) {
+func (r *Runner) remove(x *run) {
 	if x.phase == queued {
 		r.queue = slices.DeleteFunc(r.queue, func(y *run) bool { return y == x })
 	} else {
 		r.used = r.used.Minus(x.size)
 	}
 	delete(r.runs, x.task)
-	r.order = slices.DeleteFunc(r.order, func(y *run) bool { return y == x })
-	r.changed()
+	r.runList = slices.DeleteFunc(r.runList, func(y *run) bool { return y == x })
+	r.markChanged()
 }
 
-// end forgets a run and tells its entry.
+// end removes a run and notifies its entry.
 func (r *Runner) end(now time.Time, x *run, state pb.OrderState, reason string) {
-	r.forget(x)
+	r.remove(x)
 	if x.phase != queued {
-		r.remember(x)
+		r.recordEnded(x)
 	}
 	elapsed := time.Duration(0)
-	if !x.began.IsZero() {
-		elapsed = now.Sub(x.began)
+	if !x.startedAt.IsZero() {
+		elapsed = now.Sub(x.startedAt)
 	}
 	if x.entry != nil {
-		x.entry.tell(&pb.OrderNews{Number: x.order, State: state, RunMs: uint32(elapsed.Milliseconds()), Reason: reason})
+		x.entry.notify(&pb.OrderNews{Number: x.order, State: state, RunMs: uint32(elapsed.Milliseconds()), Reason: reason})
 	}
-	r.decided(now, Decision{
+	r.logDecision(now, Decision{
 		Event: "run_" + eventName(state), Task: x.task, Run: x.run, Entry: x.entryName(), Order: x.order, Reason: reason, Elapsed: elapsed,
 	})
 	r.startQueued(now)
@@ -128,26 +129,26 @@
 }
 
 const (
-	// startAgainAfter is when a start without an answer is sent again, while its answer may
-	// still come.
-	startAgainAfter = AnswerWithin / 2
-	// stopAgainAfter is the same for a stop.
-	stopAgainAfter = 2 * AnswerWithin
+	// startResendAfter is when an unanswered start is sent again, while its answer may still
+	// arrive.
+	startResendAfter = AnswerWithin / 2
+	// stopResendAfter is when an unanswered stop is sent again.
+	stopResendAfter = 2 * AnswerWithin
 )
 
 func (r *Runner) tickRun(now time.Time, x *run) {
 	switch x.phase {
 	case starting:
-		if !now.Before(x.sentAt.Add(startAgainAfter)) && r.maySendAgain(now, x) {
+		if !now.Before(x.sentAt.Add(startResendAfter)) && r.mayResendStart(now, x) {
 			r.sendStart(now, x)
 		}
 	case stopping, fencing:
-		if !x.stopped && !now.Before(x.sentAt.Add(stopAgainAfter)) {
+		if !x.stopAnswered && !now.Before(x.sentAt.Add(stopResendAfter)) {
 			r.sendStop(now, x)
 		}
 	case unfenced:
-		if !now.Before(x.fenceBy) {
-			r.end(now, x, pb.OrderState_ORDER_STATE_LOST, x.lost)
+		if !now.Before(x.unfencedUntil) {
+			r.end(now, x, pb.OrderState_ORDER_STATE_LOST, x.lostReason)
 		}
 	}
 }
--- a/dispatch/runner/runner.go
+++ b/dispatch/runner/runner.go
@@ -13,21 +13,21 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// Options configure a Runner.
+// Options configures a Runner.
 type Options struct {
 	Agent, Incarnation, FailureDomain string
 
 	Times bounds.Times
-	// Link are the times of links to entries.
+	// Link holds the timeouts of links to entries.
 	Link link.Options
-	// Token is the first fencing token. A later process beside the same worker
-	// must use a higher one, or raise it when the worker says so.
+	// Token is the first fencing token. A later process beside the same worker must use a
+	// higher one, or raise it when the worker says so.
 	Token uint64
-	// Without are mechanisms that are switched off, to measure what they are worth.
+	// Without is the set of disabled features, used to measure what each is worth.
 	Without without.Set
-	// Events takes what happens, for the time line; nil: none.
+	// Events receives events for the time line; nil records none.
 	Events *event.Ring
-	// Decided is told of each decision, for the log; nil: nobody.
+	// Decided is called with each decision, for the log; it may be nil.
 	Decided func(Decision)
 }
 
@@ -35,63 +35,63 @@
 type Runner struct {
 	opts Options
 
-	worker  Worker
-	known   bool
-	looked  bool // this life of the worker has answered a look
-	missed  int  // looks without an answer since the last answer
-	silent  bool // so many of them that nothing may start
-	leaving bool
-	token   uint64
-
-	clock    time.Duration // the worker's, at clockAt
-	clockAt  time.Time
-	renewed  time.Time // when a call that renews the lease was last sent
-	lookedAt time.Time
-	// answeredLook is when the latest look that was answered was sent.
-	answeredLook time.Time
-	// lossyUntil is how long calls to the worker are taken to get lost.
-	lossyUntil time.Time
-	lastEnd    uint64
-	number     uint64 // of looks and starts, to tell which came first
-
-	runs  map[string]*run // by task
-	order []*run          // the same, oldest first
-	queue []*run          // waiting for room
-	used  size.Size
-
-	// recent holds ends taken note of lately. Answers of two looks may overtake each
-	// other, and the older one still lists what the newer one has shown as ended.
-	recent     map[string]uint32
-	recentList []string
+	worker       Worker
+	known        bool
+	polled       bool // this incarnation of the worker has answered a poll
+	failedPolls  int  // consecutive polls without an answer
+	unresponsive bool // so many of them that nothing may start
+	leaving      bool
+	token        uint64
+
+	clock          time.Duration // the worker's clock at clockAt
+	clockAt        time.Time
+	leaseRenewedAt time.Time // when a call that renews the lease was last sent
+	polledAt       time.Time
+	// answeredPollSent is when the latest answered poll was sent.
+	answeredPollSent time.Time
+	// lossyUntil is until when calls to the worker are expected to get lost.
+	lossyUntil    time.Time
+	lastEndNumber uint64
+	callSeq       uint64 // orders polls and answered starts and stops
+
+	runs    map[string]*run // by task
+	runList []*run          // the same runs, oldest first
+	queue   []*run          // waiting for free capacity
+	used    size.Size
+
+	// recentRuns holds the runs that ended lately, by task. Answers of two polls may overtake
+	// each other, and the older one still lists runs that the newer one reported as ended.
+	recentRuns  map[string]uint32
+	recentTasks []string
 
 	entries     []*entry
 	evacuations evacuation.View
-	crashes     []crash // of the last minute, oldest first
+	crashes     []crashRecord // of the last minute, oldest first
 	ready       Ready
 }
 
-// New returns a Runner that knows no worker.
+// New returns a Runner without a worker.
 func New(o Options) *Runner {
 	if o.Decided == nil {
 		o.Decided = func(Decision) {}
 	}
-	return &Runner{opts: o, token: o.Token, runs: make(map[string]*run), recent: make(map[string]uint32)}
+	return &Runner{opts: o, token: o.Token, runs: make(map[string]*run), recentRuns: make(map[string]uint32)}
 }
 
-// Leave stops taking orders. What runs goes on.
+// Leave stops taking orders. Runs in progress go on.
 func (r *Runner) Leave(now time.Time) {
 	r.leaving = true
 	r.flushQueue(now)
-	r.changed()
+	r.markChanged()
 }
 
-// Drained reports whether nothing waits or runs.
+// Drained reports whether no order is queued or running.
 func (r *Runner) Drained() bool { return len(r.queue) == 0 && r.Running() == 0 }
 
-// Running is the number of runs that are on the worker, or may be.
+// Running returns the number of runs that are, or may be, on the worker.
 func (r *Runner) Running() int {
 	n := 0
-	for _, x := range r.order {
+	for _, x := range r.runList {
 		if x.phase != queued && x.phase != unfenced {
 			n++
 		}
@@ -99,30 +99,30 @@
 	return n
 }
 
-// Worker returns the worker known, if any.
+// Worker returns the current worker, if any.
 func (r *Runner) Worker() (Worker, bool) { return r.worker, r.known }
 
-func (r *Runner) decided(now time.Time, d Decision) {
-	if !r.lookedAt.IsZero() {
-		d.Age = now.Sub(r.lookedAt)
+func (r *Runner) logDecision(now time.Time, d Decision) {
+	if !r.polledAt.IsZero() {
+		d.Age = now.Sub(r.polledAt)
 	}
-	d.Free = r.room()
+	d.Free = r.freeCapacity()
 	r.opts.Decided(d)
 }
 
-// room is what no run takes.
-func (r *Runner) room() size.Size { return r.worker.Capacity.Minus(r.used) }
+// freeCapacity returns the capacity that no run takes.
+func (r *Runner) freeCapacity() size.Size { return r.worker.Capacity.Minus(r.used) }
 
-// changed marks the state to be told.
-func (r *Runner) changed() {
+// markChanged has the state reported to all entries.
+func (r *Runner) markChanged() {
 	for _, e := range r.entries {
-		e.stale = true
+		e.stateChanged = true
 	}
 }
 
-// flushQueue refuses what waits, when nothing may start.
+// flushQueue refuses all queued orders if nothing may start.
 func (r *Runner) flushQueue(now time.Time) {
-	if r.held() == HeldNone {
+	if r.heldReason() == HeldNone {
 		return
 	}
 	for _, x := range slices.Clone(r.queue) {
@@ -130,51 +130,51 @@
 	}
 }
 
-// Tick takes in the passing of time.
+// Tick handles the passing of time.
 func (r *Runner) Tick(now time.Time) {
 	r.tickEntries(now)
 	for _, x := range slices.Clone(r.queue) {
-		// The end of one may have started the next.
-		if x.phase == queued && !now.Before(x.waitEnd) {
+		// Ending one order may have started the next.
+		if x.phase == queued && !now.Before(x.waitUntil) {
 			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaited)
 		}
 	}
-	for _, x := range slices.Clone(r.order) {
+	for _, x := range slices.Clone(r.runList) {
 		r.tickRun(now, x)
 	}
-	if r.silent && r.Running() > 0 && now.After(r.renewed.Add(bounds.Lapse(r.opts.Times.Lease)+bounds.Slack)) {
-		// The worker has been out of reach for longer than its lease lasts, so it has
-		// ended everything by itself.
-		r.loseAll(now, unanswered, func(*run) string { return "the lease has lapsed" })
+	if r.unresponsive && r.Running() > 0 && now.After(r.leaseRenewedAt.Add(bounds.Lapse(r.opts.Times.Lease)+bounds.Slack)) {
+		// The worker has been out of reach for longer than its lease lasts, so it has ended all
+		// runs by itself.
+		r.loseRuns(now, unanswered, func(*run) string { return "the lease has lapsed" })
 	}
 }
 
-// Next is when Tick is due; zero: not before the next input.
+// Next returns when Tick is due; zero means not before the next input.
 func (r *Runner) Next() time.Time {
-	next := r.nextEntries()
-	for _, x := range r.order {
+	next := r.nextEntryEvent()
+	for _, x := range r.runList {
 		switch x.phase {
 		case queued:
-			next = link.Earlier(next, x.waitEnd)
+			next = link.Earlier(next, x.waitUntil)
 		case starting:
-			if r.maySendAgain(x.sentAt, x) {
-				next = link.Earlier(next, x.sentAt.Add(startAgainAfter))
+			if r.mayResendStart(x.sentAt, x) {
+				next = link.Earlier(next, x.sentAt.Add(startResendAfter))
 			}
 		case stopping, fencing:
-			if !x.stopped {
-				next = link.Earlier(next, x.sentAt.Add(stopAgainAfter))
+			if !x.stopAnswered {
+				next = link.Earlier(next, x.sentAt.Add(stopResendAfter))
 			}
 		case unfenced:
-			next = link.Earlier(next, x.fenceBy)
+			next = link.Earlier(next, x.unfencedUntil)
 		}
 	}
-	if r.silent && r.Running() > 0 {
-		next = link.Earlier(next, r.renewed.Add(bounds.Lapse(r.opts.Times.Lease)+bounds.Slack+time.Millisecond))
+	if r.unresponsive && r.Running() > 0 {
+		next = link.Earlier(next, r.leaseRenewedAt.Add(bounds.Lapse(r.opts.Times.Lease)+bounds.Slack+time.Millisecond))
 	}
 	return next
 }
 
-// Ready returns what has to be done since the last call.
+// Ready returns what has to be carried out since the last call.
 func (r *Runner) Ready(now time.Time) Ready {
 	r.flush(now)
 	r.closeRetired()
--- a/dispatch/runner/start.go
+++ b/dispatch/runner/start.go
@@ -6,26 +6,26 @@
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// maxSends bounds how often a start is sent: of calls that are lost one time in three, all
-// three are one time in thirty.
+// maxSends bounds how often a start is sent. If one call in three is lost, all three are lost
+// one time in thirty.
 const maxSends = 3
 
 // StartVerdict is a worker's answer to a start.
 type StartVerdict uint8
 
-// Verdicts.
+// Answers to a start.
 const (
-	// Started, now or before.
+	// Started: the run was started, now or before.
 	Started StartVerdict = iota
-	// Refused: not started; the reason tells why.
+	// Refused: the run was not started; the reason says why.
 	Refused
-	// OldRun: a run with a higher number has been there.
+	// OldRun: the worker knows a run of the task with a higher number.
 	OldRun
 	// Fenced: another process used a higher token.
 	Fenced
-	// OtherLife: another life of the worker answered.
+	// OtherLife: another incarnation of the worker answered.
 	OtherLife
-	// Unanswered: it may have been started, or be started later.
+	// Unanswered: the run may have been started, or may be started later.
 	Unanswered
 	// Unsent: the call can't have reached the worker.
 	Unsent
@@ -33,34 +33,34 @@
 
 // start sends the start of a run to the worker.
 func (r *Runner) start(now time.Time, x *run) {
-	x.phase, x.began = starting, now
+	x.phase, x.startedAt = starting, now
 	r.used = r.used.Plus(x.size)
 	r.sendStart(now, x)
 }
 
 func (r *Runner) sendStart(now time.Time, x *run) {
-	x.sentAt, r.renewed = now, now
+	x.sentAt, r.leaseRenewedAt = now, now
 	x.sends++
 	r.ready.Starts = append(r.ready.Starts, Start{
-		Worker: r.worker.Life, Task: x.task, Run: x.run, Payload: x.payload, Until: r.until(now), Token: r.token,
+		Worker: r.worker.Life, Task: x.task, Run: x.run, Payload: x.payload, Until: r.leaseEnd(now), Token: r.token,
 	})
 }
 
-// StartAnswered takes in the answer to a start.
+// StartAnswered handles the answer to a start.
 func (r *Runner) StartAnswered(now time.Time, s Start, v StartVerdict, clock time.Duration, why string) {
-	if !r.knows(s.Worker) {
+	if !r.isCurrent(s.Worker) {
 		return
 	}
-	r.heardClock(now, clock)
+	r.updateClock(now, clock)
 	x := r.runs[s.Task]
-	if x == nil || x.run != s.Run || x.phase != starting && x.phase != doubtful {
+	if x == nil || x.run != s.Run || x.phase != starting && x.phase != inDoubt {
 		return
 	}
 	switch v {
 	case Started:
-		r.begun(now, x)
+		r.runStarted(now, x)
 	case OtherLife:
-		r.succeeded(now, "another life of the worker answers")
+		r.handleSuperseded(now, "another incarnation of the worker answers")
 	case Unanswered:
 		r.startUnanswered(now, x)
 	default:
@@ -69,15 +69,15 @@
 }
 
 func (r *Runner) startUnanswered(now time.Time, x *run) {
-	r.lossyUntil = now.Add(lossyFor)
-	x.unanswered++
+	r.lossyUntil = now.Add(lossyPeriod)
+	x.unansweredSends++
 	switch {
-	case x.unanswered < x.sends:
-		// Another call is on its way.
-	case r.maySendAgain(now, x):
+	case x.unansweredSends < x.sends:
+		// Another call is in flight.
+	case r.mayResendStart(now, x):
 		r.sendStart(now, x)
 	default:
-		r.doubt(x)
+		r.markInDoubt(x)
 	}
 }
 
@@ -87,52 +87,52 @@
 	}
 	if x.sends > 1 {
 		// An earlier call may have begun the run, and it may have ended since.
-		r.doubt(x)
+		r.markInDoubt(x)
 		return
 	}
-	reason := ReasonWorker + ": " + why
+	reason := ReasonWorkerRefused + ": " + why
 	switch v {
 	case OldRun:
 		reason = ReasonOldRun
 	case Fenced:
-		reason = ReasonWorker + ": fence"
+		reason = ReasonWorkerRefused + ": fence"
 	case Unsent:
-		reason = ReasonWorker + ": not reached"
+		reason = ReasonWorkerRefused + ": not reached"
 	}
 	r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, reason)
 }
 
-// doubt takes in that a start may have begun and its answer be lost, or may be carried out
-// later. A look tells the first; a stop that is answered rules out the second.
-func (r *Runner) doubt(x *run) {
-	x.phase = doubtful
-	r.number++
-	x.number = r.number
+// markInDoubt handles a start that may have been carried out with its answer lost, or that
+// may be carried out later. A poll detects the former; an answered stop rules out the latter.
+func (r *Runner) markInDoubt(x *run) {
+	x.phase = inDoubt
+	r.callSeq++
+	x.callSeq = r.callSeq
 	r.ready.Look = true
 }
 
-// maySendAgain reports whether a start that had no answer is sent again. A worker takes the
-// same run once, so the task begins a moment later, where fencing the run and ordering
+// mayResendStart reports whether an unanswered start is sent again. A worker starts the same
+// run only once, so the task begins a moment later, whereas fencing the run and ordering
 // another one elsewhere would take several calls, each of which may be lost too.
-func (r *Runner) maySendAgain(now time.Time, x *run) bool {
-	return x.phase == starting && x.wanted && x.sends < maxSends && r.held() == HeldNone && !r.mute(now, x.entry)
+func (r *Runner) mayResendStart(now time.Time, x *run) bool {
+	return x.phase == starting && x.wanted && x.sends < maxSends && r.heldReason() == HeldNone && !r.timedOut(now, x.entry)
 }
 
-// raiseToken takes a token above that of an earlier process. Its size is unknown;
-// doubling the step finds it in a few calls.
+// raiseToken chooses a token above that of an earlier process, whose value is unknown. Doubling
+// the token exceeds it within a few calls.
 func (r *Runner) raiseToken() { r.token += max(1, r.token) }
 
-func (r *Runner) begun(now time.Time, x *run) {
-	r.number++
-	x.number = r.number
+func (r *Runner) runStarted(now time.Time, x *run) {
+	r.callSeq++
+	x.callSeq = r.callSeq
 	if !x.wanted {
 		x.phase = running
 		r.stopNow(now, x)
 		return
 	}
 	x.phase = running
-	x.entry.mention(now, &pb.OrderNews{Number: x.order, State: pb.OrderState_ORDER_STATE_STARTED})
-	r.decided(now, Decision{Event: "run_started", Task: x.task, Run: x.run, Entry: x.entryName(), Order: x.order})
+	x.entry.notifyDeferred(now, &pb.OrderNews{Number: x.order, State: pb.OrderState_ORDER_STATE_STARTED})
+	r.logDecision(now, Decision{Event: "run_started", Task: x.task, Run: x.run, Entry: x.entryName(), Order: x.order})
 }
 
 // stop ends a run at its entry's request, or because nobody waits for it.
@@ -143,8 +143,8 @@
 		r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonStopped)
 	case running:
 		r.stopNow(now, x)
-	case starting, doubtful:
-		// A stop that overtakes the start on its way makes the worker refuse it.
+	case starting, inDoubt:
+		// If the stop overtakes the start, the worker refuses the start.
 		x.phase = fencing
 		r.sendStop(now, x)
 	}
@@ -160,20 +160,19 @@
 	r.ready.Stops = append(r.ready.Stops, Stop{Worker: r.worker.Life, Task: x.task, Run: x.run, Token: r.token})
 }
 
-// StopAnswered takes in that the worker has answered a stop: the run has ended or
-// is ending, and it does not begin any more. Looks that begin from now on show
-// which.
+// StopAnswered handles the worker's answer to a stop: the run has ended or is ending, and it
+// can't begin any more. Polls that begin from now on show which.
 func (r *Runner) StopAnswered(now time.Time, s Stop, clock time.Duration) {
-	if !r.knows(s.Worker) {
+	if !r.isCurrent(s.Worker) {
 		return
 	}
-	r.heardClock(now, clock)
+	r.updateClock(now, clock)
 	x := r.runs[s.Task]
 	if x == nil || x.run != s.Run || x.phase != stopping && x.phase != fencing {
 		return
 	}
-	r.number++
-	x.number = r.number
-	x.stopped = true
+	r.callSeq++
+	x.callSeq = r.callSeq
+	x.stopAnswered = true
 	r.ready.Look = true
 }
