--- a/dispatch/link/link.go
+++ b/dispatch/link/link.go
@@ -1,12 +1,12 @@
-// Package link keeps the state of one side of a link between an entry and an
-// agent: frame numbers, acknowledgements, heartbeats, and when to take the link
-// for silent. It does no I/O and reads no clock; callers serialize all calls.
+// Package link implements the state of one side of a link between an entry and an agent: frame
+// numbers, acknowledgements, heartbeats, and when to consider the link lost. It does no I/O and
+// reads no clock; callers serialize all calls.
 //
-// An open connection may go silent for good while new ones work. The only sign
-// is that an acknowledgement stays out. So each side acknowledges frames with
-// content within AckDelay, on frames that flow anyway where there are any, and
-// takes the link for silent when its own content is not acknowledged in
-// AckTimeout, or nothing at all arrives in HeartbeatTimeout.
+// An open connection may stop working for good while new ones work, and a missing
+// acknowledgement is the only sign of that. So each side acknowledges frames with content
+// within AckDelay, on frames that are sent anyway where there are any. It considers the link
+// lost when its own content is not acknowledged within AckTimeout, or when nothing at all
+// arrives within HeartbeatTimeout.
 package link
 
 import (
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// Options are the times of a link; the zero value of a field takes the default.
+// Options holds the timeouts of a link; zero fields take the defaults.
 type Options struct {
-	// AckDelay is how long an acknowledgement may wait for a frame to ride on.
+	// AckDelay is how long an acknowledgement may wait to be carried by another frame.
 	AckDelay time.Duration
-	// AckTimeout is when content without acknowledgement makes the link silent.
-	// It must exceed AckDelay and a round trip.
+	// AckTimeout is the time after which unacknowledged content makes the link time out. It
+	// must exceed AckDelay and a round trip.
 	AckTimeout time.Duration
-	// Heartbeat is the longest time without a frame.
+	// Heartbeat is the maximum time between two frames sent.
 	Heartbeat time.Duration
-	// HeartbeatTimeout is when a link without any frame is silent.
+	// HeartbeatTimeout is the time without any received frame after which the link times out.
 	HeartbeatTimeout time.Duration
 }
 
@@ -35,7 +35,7 @@
 	DefaultHeartbeatTimeout = 12 * time.Second
 )
 
-// WithDefaults returns the options with zero fields set.
+// WithDefaults returns a copy of o with zero fields set to the defaults.
 func (o Options) WithDefaults() Options {
 	o.AckDelay = cmp.Or(o.AckDelay, DefaultAckDelay)
 	o.AckTimeout = cmp.Or(o.AckTimeout, DefaultAckTimeout)
@@ -52,21 +52,21 @@
 
 	sent      uint64 // number of the last frame sent
 	received  uint64 // number of the last frame received
-	peerAcked uint64 // highest of ours that the peer has acknowledged
-	needsAck  uint64 // highest of ours that carried content
+	peerAcked uint64 // highest own frame that the peer has acknowledged
+	needsAck  uint64 // highest own frame with content
 
-	lastSent  time.Time
-	lastHeard time.Time
-	ackDue    time.Time // zero: nothing to acknowledge
-	unacked   time.Time // when the oldest unacknowledged content was sent; zero: none
+	lastSent     time.Time
+	lastReceived time.Time
+	ackDueAt     time.Time // zero if there is nothing to acknowledge
+	unackedSince time.Time // when the oldest unacknowledged content was sent; zero if there is none
 
-	// next is kept because an entry asks all of its links after each input.
+	// next is cached because an entry asks all of its links after each input.
 	next time.Time
 }
 
 // Up starts the session of a new connection.
 func (s *Session) Up(now time.Time, epoch uint64, opts Options) {
-	*s = Session{opts: opts, epoch: epoch, up: true, lastSent: now, lastHeard: now}
+	*s = Session{opts: opts, epoch: epoch, up: true, lastSent: now, lastReceived: now}
 	s.schedule()
 }
 
@@ -76,44 +76,44 @@
 // IsUp reports whether the session has a connection that is not known to be lost.
 func (s *Session) IsUp() bool { return s.up }
 
-// Epoch is the number of the link between the two processes.
+// Epoch returns the number of this link among those between the two processes.
 func (s *Session) Epoch() uint64 { return s.epoch }
 
-// Acked is the highest own frame that the peer has acknowledged.
+// Acked returns the highest own frame that the peer has acknowledged.
 func (s *Session) Acked() uint64 { return s.peerAcked }
 
-// Received takes in the numbers of a frame. It returns false for a frame that
-// must be ignored: the link is down, or the frame is not the next one.
+// Received records the numbers of a received frame. It returns false for a frame that must be
+// ignored: the link is down, or the frame is not the next one.
 func (s *Session) Received(now time.Time, seq, ack uint64, content bool) bool {
 	if !s.up || seq != s.received+1 || ack > s.sent {
 		return false
 	}
 	s.received = seq
-	s.lastHeard = now
+	s.lastReceived = now
 	if ack > s.peerAcked {
 		s.peerAcked = ack
-		s.unacked = time.Time{}
+		s.unackedSince = time.Time{}
 		if s.needsAck > ack {
-			s.unacked = now
+			s.unackedSince = now
 		}
 	}
-	if content && s.ackDue.IsZero() {
-		s.ackDue = now.Add(s.opts.AckDelay)
+	if content && s.ackDueAt.IsZero() {
+		s.ackDueAt = now.Add(s.opts.AckDelay)
 	}
 	s.schedule()
 	return true
 }
 
-// Send returns the numbers for the next frame. Content asks the peer for an
-// acknowledgement.
+// Send returns the numbers for the next frame. A frame with content requests an acknowledgement
+// from the peer.
 func (s *Session) Send(now time.Time, content bool) (seq, ack uint64) {
 	s.sent++
 	s.lastSent = now
-	s.ackDue = time.Time{}
+	s.ackDueAt = time.Time{}
 	if content {
 		s.needsAck = s.sent
-		if s.unacked.IsZero() {
-			s.unacked = now
+		if s.unackedSince.IsZero() {
+			s.unackedSince = now
 		}
 	}
 	s.schedule()
@@ -123,29 +123,29 @@
 // Settled reports whether the peer has acknowledged all content.
 func (s *Session) Settled() bool { return s.peerAcked >= s.needsAck }
 
-// Due reports whether a frame must go out now even without content.
+// Due reports whether a frame must be sent now even without content.
 func (s *Session) Due(now time.Time) bool {
 	if !s.up {
 		return false
 	}
-	if !s.ackDue.IsZero() && !now.Before(s.ackDue) {
+	if !s.ackDueAt.IsZero() && !now.Before(s.ackDueAt) {
 		return true
 	}
 	return !now.Before(s.lastSent.Add(s.opts.Heartbeat))
 }
 
-// Silent reports whether the link must be taken for lost.
+// Silent reports whether the link has timed out and must be considered lost.
 func (s *Session) Silent(now time.Time) bool {
 	if !s.up {
 		return false
 	}
-	if !s.unacked.IsZero() && !now.Before(s.unacked.Add(s.opts.AckTimeout)) {
+	if !s.unackedSince.IsZero() && !now.Before(s.unackedSince.Add(s.opts.AckTimeout)) {
 		return true
 	}
-	return !now.Before(s.lastHeard.Add(s.opts.HeartbeatTimeout))
+	return !now.Before(s.lastReceived.Add(s.opts.HeartbeatTimeout))
 }
 
-// Next is when Due or Silent may turn true; zero for a link that is down.
+// Next returns when Due or Silent may become true; zero for a link that is down.
 func (s *Session) Next() time.Time {
 	if !s.up {
 		return time.Time{}
@@ -153,13 +153,13 @@
 	return s.next
 }
 
-// schedule sets next after a change.
+// schedule updates next after a change.
 func (s *Session) schedule() {
 	next := s.lastSent.Add(s.opts.Heartbeat)
-	next = Earlier(next, s.lastHeard.Add(s.opts.HeartbeatTimeout))
-	next = Earlier(next, s.ackDue)
-	if !s.unacked.IsZero() {
-		next = Earlier(next, s.unacked.Add(s.opts.AckTimeout))
+	next = Earlier(next, s.lastReceived.Add(s.opts.HeartbeatTimeout))
+	next = Earlier(next, s.ackDueAt)
+	if !s.unackedSince.IsZero() {
+		next = Earlier(next, s.unackedSince.Add(s.opts.AckTimeout))
 	}
 	s.next = next
 }
