--- a/dispatch/size/size.go
+++ b/dispatch/size/size.go
@@ -1,54 +1,54 @@
-// Package size adds and compares what tasks request with what workers have.
+// Package size adds and compares the resources that tasks request and workers have.
 package size
 
 import (
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// Size is an amount of each resource; it may be negative.
+// Size is an amount of each resource; amounts may be negative.
 type Size struct {
 	CPUMillis int64
 	MemoryMB  int64
 	GPUs      int64
 }
 
-// Of converts a message.
+// Of returns the Size in a message.
 func Of(m *pb.Size) Size {
 	return Size{int64(m.GetCpuMillis()), int64(m.GetMemoryMb()), int64(m.GetGpus())}
 }
 
-// OfRoom converts a message.
+// OfRoom returns the Size in a message, which may have negative amounts.
 func OfRoom(m *pb.Room) Size {
 	return Size{int64(m.GetCpuMillis()), int64(m.GetMemoryMb()), int64(m.GetGpus())}
 }
 
-// Message converts s, which must not be negative.
+// Message returns s as a message. The amounts of s must not be negative.
 func (s Size) Message() *pb.Size {
 	return &pb.Size{CpuMillis: uint32(s.CPUMillis), MemoryMb: uint32(s.MemoryMB), Gpus: uint32(s.GPUs)}
 }
 
-// Room converts s.
+// Room returns s as a message that may have negative amounts.
 func (s Size) Room() *pb.Room {
 	return &pb.Room{CpuMillis: int32(s.CPUMillis), MemoryMb: int32(s.MemoryMB), Gpus: int32(s.GPUs)}
 }
 
-// Plus is the sum.
+// Plus returns the sum of s and o.
 func (s Size) Plus(o Size) Size {
 	return Size{s.CPUMillis + o.CPUMillis, s.MemoryMB + o.MemoryMB, s.GPUs + o.GPUs}
 }
 
-// Minus is the difference.
+// Minus returns the difference of s and o.
 func (s Size) Minus(o Size) Size {
 	return Size{s.CPUMillis - o.CPUMillis, s.MemoryMB - o.MemoryMB, s.GPUs - o.GPUs}
 }
 
-// FitsIn reports whether the room has at least s of each resource.
+// FitsIn reports whether room has at least s of each resource.
 func (s Size) FitsIn(room Size) bool {
 	return s.CPUMillis <= room.CPUMillis && s.MemoryMB <= room.MemoryMB && s.GPUs <= room.GPUs
 }
 
-// Share is the largest part of the whole that s takes of any resource that the
-// whole has.
+// Share returns the largest share that s takes of any resource of the whole. Resources that the
+// whole doesn't have are ignored.
 func (s Size) Share(whole Size) float64 {
 	share := 0.0
 	for _, r := range [...][2]int64{{s.CPUMillis, whole.CPUMillis}, {s.MemoryMB, whole.MemoryMB}, {s.GPUs, whole.GPUs}} {
@@ -59,7 +59,7 @@
 	return share
 }
 
-// CPUShare is the part of the whole's processor that s has, between 0 and 1.
+// CPUShare returns the share of the whole's CPU that s has, between 0 and 1.
 func (s Size) CPUShare(whole Size) float64 {
 	if whole.CPUMillis <= 0 {
 		return 0
