--- a/dispatch/subset/subset.go
+++ b/dispatch/subset/subset.go
@@ -1,7 +1,7 @@
-// Package subset chooses with which entries an agent keeps links. All with all would
-// cost each machine more, the larger the fleet is; so an agent keeps some, chosen by
-// rendezvous hashing: agents need no agreement for it, every entry gets about as many
-// agents as any other, and few links move when an entry comes or goes.
+// Package subset chooses the entries with which an agent keeps links. If all agents were linked
+// to all entries, the cost of each machine would grow with the fleet, so an agent keeps links
+// to a subset chosen by rendezvous hashing. Agents need no agreement for that, every entry gets
+// about the same number of agents, and few links move when an entry joins or leaves.
 package subset
 
 import (
@@ -12,26 +12,27 @@
 )
 
 const (
-	// Links is how many entries an agent keeps links with. Up to so many entries it is
-	// every one, so small sites are a full mesh. A link costs an agent some two frames a
-	// second at rest. Twelve leave an agent without a link one time in 4,000 when half
-	// of the entries are lost at once, and at a state of four entries for each 17 workers
-	// an entry reaches 50 workers: one that gets four times its share of the jobs, of
-	// a fleet that is used to seven tenths, fills a quarter of them.
+	// Links is how many entries an agent keeps links with. With up to that many entries the
+	// site is a full mesh. A link costs an agent about two frames a second at rest. With twelve
+	// links, an agent is left without a link one time in 4,000 when half of the entries are
+	// lost at once. In a site with four entries for each 17 workers, an entry then reaches 50
+	// workers: if it gets four times its share of the jobs and the fleet is 70 % utilized, its
+	// jobs fill a quarter of them.
 	Links = 12
-	// Told is how many entries an agent is told of: as many again as it links to, to
-	// replace those that it can't reach.
+	// Told is how many entries are advertised to an agent: twice as many as it links to, so
+	// that it can replace those that it can't reach.
 	Told = 2 * Links
 )
 
-// Rank orders the addresses for a process, those to link to first. The order of those
-// that stay doesn't change when others come or go.
+// Rank orders the addresses for a process, the most preferred first. The relative order of two
+// addresses doesn't change when others are added or removed.
 func Rank(name string, addresses []string) []string {
 	return first(name, addresses, len(addresses))
 }
 
-// First returns the first of Rank, at most n. An entry makes it for each of its agents at
-// each change of the entries, so it sorts no more than these.
+// First returns at most n addresses, the first ones of Rank if there are more. An entry
+// computes it for each of its agents whenever the set of entries changes, which is often while
+// a site starts, so only the returned addresses are sorted.
 func First(name string, addresses []string, n int) []string {
 	if len(addresses) <= n {
 		return addresses
@@ -75,11 +76,12 @@
 	return d.Sum64()
 }
 
-// Choose returns those of the ranked addresses that a process keeps or tries links
-// with: the first ones, until n of them are not known to be out of reach.
+// Choose returns those of the ranked addresses with which a process keeps links or tries to:
+// the shortest prefix that has n addresses not known to be down, or all.
 //
-// An agent whose links all led to a lost failure domain would be idle. Those out of reach are
-// tried on, since they rank higher and take their place again.
+// Without the replacements, an agent whose links all led to a lost failure domain would be
+// idle. Addresses that are down are tried further, since they rank higher and are used again
+// once they are reachable.
 func Choose(ranked []string, n int, down func(address string) bool) []string {
 	for i, a := range ranked {
 		if !down(a) {
--- a/dispatch/subset/subset_test.go
+++ b/dispatch/subset/subset_test.go
@@ -27,10 +27,10 @@
 	return by
 }
 
-// Each entry must have agents enough for the jobs that callers happen to bring it, and
-// none so many that a small one spends itself on links. The bounds are three standard
-// deviations of a draw by chance, in a hundred entries one or none lies outside.
-func TestEntriesGetAboutAsManyAgents(t *testing.T) {
+// Each entry must have enough agents for the jobs that callers send it, and not so many that a
+// small entry spends its resources on links. The bounds are three standard deviations of a
+// random choice; of a hundred entries, one or none lies outside.
+func TestAgentsAreSpreadEvenly(t *testing.T) {
 	for _, c := range []struct{ entries, agents int }{{55, 240}, {120, 520}, {12, 66}} {
 		by := chosenBy(names("agent", c.agents), names("10.0.0", c.entries))
 		mean := float64(c.agents) * min(1, Links/float64(c.entries))
@@ -46,8 +46,8 @@
 	}
 }
 
-// An entry is replaced by another one. Agents must not give up links to the others:
-// each link that moves costs both sides a greeting and the entry what it knew.
+// An entry is replaced by another one. Agents must keep their links to the others: each link
+// that moves costs both sides a handshake, and the entry its state of the agent.
 func TestFewLinksMove(t *testing.T) {
 	agents, entries := names("agent", 240), names("10.0.0", 55)
 	changed := append(slices.Clone(entries[1:]), "10.0.0-new")
@@ -61,11 +61,11 @@
 		}
 	}
 	if per := 240 * Links / 55; moved > 3*per {
-		t.Errorf("%d links moved; the one that went had about %d, and the one that came has as many", moved, per)
+		t.Errorf("%d links moved; the removed entry had about %d, and the added one has as many", moved, per)
 	}
 }
 
-// Up to so many entries the site is a full mesh, in whatever order they are told.
+// Up to Links entries the site is a full mesh, in whatever order they are listed.
 func TestSmallSitesAreAFullMesh(t *testing.T) {
 	entries := names("10.0.0", Links)
 	if diff := cmp.Diff(entries, First("agent", entries, Links)); diff != "" {
@@ -73,10 +73,10 @@
 	}
 }
 
-// All entries of a failure domain are lost, and with them some or all of an agent's
-// links. It takes as many others, goes on trying those that it lost, and comes back to
-// them alone.
-func TestOthersStandInForEntriesOutOfReach(t *testing.T) {
+// All entries of a failure domain are lost, and with them some or all of an agent's links. The
+// agent links to as many others, keeps trying the lost ones, and returns to them alone once
+// they are back.
+func TestUnreachableEntriesAreReplaced(t *testing.T) {
 	ranked := Rank("agent", names("10.0.0", 30))
 	lost := map[string]bool{ranked[0]: true, ranked[2]: true, ranked[3]: true}
 	got := Choose(ranked, 4, func(a string) bool { return lost[a] })
@@ -87,13 +87,12 @@
 		t.Error(diff)
 	}
 	if got := Choose(ranked, 4, func(string) bool { return true }); len(got) != len(ranked) {
-		t.Errorf("tries %d entries of %d with all of them out of reach", len(got), len(ranked))
+		t.Errorf("%d of %d entries are tried while all are unreachable", len(got), len(ranked))
 	}
 }
 
-// The list of entries changes often at a start of all machines, and an entry makes the choice
-// of each of its agents anew each time.
-func TestFirstIsTheBeginOfRank(t *testing.T) {
+// First must agree with Rank, which sorts all addresses.
+func TestFirstIsPrefixOfRank(t *testing.T) {
 	for _, n := range []int{1, 5, 24, 25, 183, 2500} {
 		entries := names("10.0.0", n)
 		want := Rank("agent-7", entries)
