--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -1,11 +1,11 @@
-// Package health judges agents by the results of their tasks, against other
-// agents on the same contract and kind. A worker that fails what others complete
-// is suspended, and a job that fails everywhere harms no worker's standing.
+// Package health evaluates agents by the results of their tasks, compared with other agents on
+// the same contract and kind. An agent that fails tasks which others complete is suspended,
+// whereas a job that fails everywhere affects no agent's health state.
 //
-// A suspended agent gets work again by a trial: one task, which runs nowhere else.
+// A suspended agent gets work again through a trial: a single task, which runs nowhere else.
 //
-// The package does no I/O, reads no clock and starts no goroutine. A [Judge] is
-// not safe for concurrent use.
+// The package does no I/O, reads no clock and starts no goroutine. A [Judge] is not safe for
+// concurrent use.
 package health
 
 import (
@@ -17,16 +17,16 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// Options tunes a judge. Zero fields take the defaults.
+// Options configures a Judge. Zero fields take the defaults.
 type Options struct {
-	// FirstBackoff is how long the first suspension lasts; each failed trial
-	// doubles it up to MaxBackoff.
+	// FirstBackoff is how long the first suspension lasts. Each failed trial doubles it, up to
+	// MaxBackoff.
 	FirstBackoff, MaxBackoff time.Duration
-	// MaxSuspended is the largest part of the agents that may be suspended.
-	// Beyond it, what looks like many bad workers has a common cause, and
-	// taking more of them away would only lose capacity.
+	// MaxSuspended is the largest share of the agents that may be suspended. Beyond it, what
+	// looks like many bad workers has a common cause, and suspending more of them would only
+	// lose capacity.
 	MaxSuspended float64
-	// MaxKinds is the most pairs of contract and kind compared.
+	// MaxKinds is the maximum number of pairs of contract and kind that are compared.
 	MaxKinds int
 }
 
@@ -39,19 +39,18 @@
 )
 
 const (
-	// gain is the weight of a new result against all before.
-	gain = 0.25
-	// suspendAt is the share of failures beyond the others' at which an agent
-	// is suspended: three in a row when others complete everything.
-	suspendAt = 0.5
-	// suspendSlowness is how many times slower than others an agent must be
-	// for the same.
+	// smoothingFactor is the weight of a new result in the moving averages.
+	smoothingFactor = 0.25
+	// suspendFailureRate is the failure rate above that of the others at which an agent is
+	// suspended: three failures in a row while others complete everything.
+	suspendFailureRate = 0.5
+	// suspendSlowness is how many times slower than others an agent must be to be suspended.
 	suspendSlowness = 6
 	maxSlowness     = 20
-	// suspicion is how much slower an agent counts while all its results are
-	// failures that nothing can be compared with. It makes the next task of
-	// the kind go elsewhere, which gives the comparison.
-	suspicion = 4
+	// uncomparedPenalty is how much slower an agent is rated while all its results are failures
+	// that can't be compared with anything. It sends the next task of the kind to another
+	// agent, which makes a comparison possible.
+	uncomparedPenalty = 4
 	// peersPerKind bounds the agents compared on one kind.
 	peersPerKind = 32
 )
@@ -59,41 +58,41 @@
 // Result is the end of a task. Tasks that a caller cancelled are no results.
 type Result struct {
 	Contract, Kind string
-	// Failed tells that the endpoint failed the task, or that it was lost or
-	// overran its deadline there.
+	// Failed means that the endpoint failed the task, or that the task was lost there or
+	// exceeded its deadline.
 	Failed bool
 	Run    time.Duration
 }
 
 type kindKey struct{ contract, kind string }
 
-// peer is one agent's results on one kind.
+// peer holds one agent's results on one kind.
 type peer struct {
-	agent    string
-	failures float64
-	// run is the mean run time of completed tasks in seconds, zero if none.
-	run  float64
-	last time.Time
+	agent       string
+	failureRate float64
+	// run is the mean run time of completed tasks in seconds; zero if there are none.
+	run        float64
+	lastReport time.Time
 }
 
 type kindTable struct {
-	peers []peer
-	last  time.Time
+	peers      []peer
+	lastReport time.Time
 }
 
 type agent struct {
-	// excess is the share of failures beyond that of others.
-	excess float64
-	// unjudged is the share of failures while there was nobody to compare with.
-	unjudged float64
-	// logSlowness is the mean logarithm of run time against others.
-	logSlowness float64
-	standing    place.Standing
-	until       time.Time
-	backoff     time.Duration
+	// excessFailures is the failure rate above that of other agents.
+	excessFailures float64
+	// uncomparedFailures is the failure rate while there was no other agent to compare with.
+	uncomparedFailures float64
+	// logSlowness is the mean logarithm of the ratio of the run time to that of other agents.
+	logSlowness    float64
+	state          place.Standing
+	suspendedUntil time.Time
+	backoff        time.Duration
 }
 
-// Judge keeps the standing of agents. Use [New].
+// Judge tracks the health state of agents. Use [New].
 type Judge struct {
 	options   Options
 	agents    map[string]*agent
@@ -101,7 +100,7 @@
 	suspended int
 }
 
-// New returns a judge without agents.
+// New returns a Judge without agents.
 func New(options Options) *Judge {
 	options.FirstBackoff = cmp.Or(options.FirstBackoff, DefaultFirstBackoff)
 	options.MaxBackoff = cmp.Or(options.MaxBackoff, DefaultMaxBackoff)
@@ -110,156 +109,157 @@
 	return &Judge{options: options, agents: make(map[string]*agent), kinds: make(map[kindKey]*kindTable)}
 }
 
-// Add makes an agent known. An agent process that restarted begins anew: call
-// Remove first.
+// Add adds an agent. If an agent process was restarted, call Remove first, so that it starts
+// without history.
 func (j *Judge) Add(name string) {
 	if j.agents[name] == nil {
 		j.agents[name] = &agent{backoff: j.options.FirstBackoff}
 	}
 }
 
-// Remove forgets an agent.
+// Remove removes an agent.
 func (j *Judge) Remove(name string) {
 	a := j.agents[name]
 	if a == nil {
 		return
 	}
-	j.setStanding(a, place.Open)
+	j.setState(a, place.Open)
 	delete(j.agents, name)
 	for _, table := range j.kinds {
 		table.peers = slices.DeleteFunc(table.peers, func(p peer) bool { return p.agent == name })
 	}
 }
 
-// Standing returns what work an agent may get at a time. A suspension that has
-// run out becomes a trial.
+// Standing returns the health state of an agent, which limits the work it may get at a time. A
+// suspension that has expired becomes a trial.
 func (j *Judge) Standing(name string, now time.Time) place.Standing {
 	a := j.agents[name]
 	if a == nil {
 		return place.Open
 	}
-	if a.standing == place.Suspended && !now.Before(a.until) {
-		j.setStanding(a, place.Trial)
+	if a.state == place.Suspended && !now.Before(a.suspendedUntil) {
+		j.setState(a, place.Trial)
 	}
-	return a.standing
+	return a.state
 }
 
-// Slowness returns how much longer than on other agents a task is expected to
-// take; 1 is usual.
+// Slowness returns how many times longer a task is expected to take than on other agents; 1 is
+// usual.
 func (j *Judge) Slowness(name string) float64 {
 	a := j.agents[name]
 	if a == nil {
 		return 1
 	}
-	slowness := math.Exp(a.logSlowness) * (1 + suspicion*a.unjudged)
+	slowness := math.Exp(a.logSlowness) * (1 + uncomparedPenalty*a.uncomparedFailures)
 	return min(max(slowness, 1/float64(maxSlowness)), maxSlowness)
 }
 
-// Report takes the end of a task at an agent. It returns whether the agent's
-// standing changed.
+// Report records the end of a task at an agent. It returns whether the agent's health state
+// changed.
 func (j *Judge) Report(name string, r Result, now time.Time) bool {
 	a := j.agents[name]
 	if a == nil {
 		return false
 	}
 	table := j.table(kindKey{r.Contract, r.Kind}, now)
-	before := a.standing
-	j.judge(a, table.others(name), r, now)
-	table.add(name, r, now)
-	return a.standing != before
+	before := a.state
+	j.evaluate(a, table.others(name), r, now)
+	table.record(name, r, now)
+	return a.state != before
 }
 
-// others is how the other agents do on a kind.
-type others struct {
-	known    bool
-	failures float64
-	run      float64
+// peerStats summarizes the results of the other agents on a kind.
+type peerStats struct {
+	known       bool
+	failureRate float64
+	run         float64
 }
 
-func (j *Judge) judge(a *agent, o others, r Result, now time.Time) {
+func (j *Judge) evaluate(a *agent, o peerStats, r Result, now time.Time) {
 	if !o.known {
-		if a.standing == place.Trial && !r.Failed {
-			j.recover(a)
+		if a.state == place.Trial && !r.Failed {
+			j.endTrial(a)
 		}
-		a.unjudged += gain * (toFloat(r.Failed) - a.unjudged)
+		a.uncomparedFailures += smoothingFactor * (toFloat(r.Failed) - a.uncomparedFailures)
 		return
 	}
-	a.unjudged *= 1 - gain
-	excess := max(toFloat(r.Failed)-o.failures, 0)
-	a.excess += gain * (excess - a.excess)
+	a.uncomparedFailures *= 1 - smoothingFactor
+	excess := max(toFloat(r.Failed)-o.failureRate, 0)
+	a.excessFailures += smoothingFactor * (excess - a.excessFailures)
 	slow := false
 	if !r.Failed && o.run > 0 && r.Run > 0 {
 		ratio := r.Run.Seconds() / o.run
 		limited := min(max(ratio, 1/float64(maxSlowness)), maxSlowness)
-		a.logSlowness += gain * (math.Log(limited) - a.logSlowness)
+		a.logSlowness += smoothingFactor * (math.Log(limited) - a.logSlowness)
 		slow = ratio > suspendSlowness
 	}
 	switch {
-	case a.standing == place.Trial && (excess >= suspendAt || slow):
+	case a.state == place.Trial && (excess >= suspendFailureRate || slow):
 		a.backoff = min(2*a.backoff, j.options.MaxBackoff)
 		j.suspend(a, now)
-	case a.standing == place.Trial && !r.Failed:
-		j.recover(a)
-	case a.standing == place.Open && (a.excess >= suspendAt || a.logSlowness >= math.Log(suspendSlowness)):
+	case a.state == place.Trial && !r.Failed:
+		j.endTrial(a)
+	case a.state == place.Open && (a.excessFailures >= suspendFailureRate || a.logSlowness >= math.Log(suspendSlowness)):
 		j.suspend(a, now)
 	}
 }
 
 func (j *Judge) suspend(a *agent, now time.Time) {
-	if a.standing == place.Open && float64(j.suspended+1) > j.options.MaxSuspended*float64(len(j.agents)) {
+	if a.state == place.Open && float64(j.suspended+1) > j.options.MaxSuspended*float64(len(j.agents)) {
 		return
 	}
-	j.setStanding(a, place.Suspended)
-	a.until = now.Add(a.backoff)
+	j.setState(a, place.Suspended)
+	a.suspendedUntil = now.Add(a.backoff)
 }
 
-// recover ends a trial. What was held against the agent is halved, so that it
-// is suspended sooner if the trial was luck.
-func (j *Judge) recover(a *agent) {
-	j.setStanding(a, place.Open)
+// endTrial ends a successful trial. The averages that led to the suspension are halved, so that
+// the agent is suspended again sooner if the success was luck.
+func (j *Judge) endTrial(a *agent) {
+	j.setState(a, place.Open)
 	a.backoff = j.options.FirstBackoff
-	a.excess /= 2
+	a.excessFailures /= 2
 	a.logSlowness /= 2
 }
 
-// setStanding also counts agents on trial as suspended: they take no real part
-// of the load.
-func (j *Judge) setStanding(a *agent, to place.Standing) {
-	if a.standing == place.Open && to != place.Open {
+// setState sets the health state of an agent. Agents on trial are counted as suspended, since
+// they take no significant share of the load.
+func (j *Judge) setState(a *agent, to place.Standing) {
+	if a.state == place.Open && to != place.Open {
 		j.suspended++
 	}
-	if a.standing != place.Open && to == place.Open {
+	if a.state != place.Open && to == place.Open {
 		j.suspended--
 	}
-	a.standing = to
+	a.state = to
 }
 
 func (j *Judge) table(key kindKey, now time.Time) *kindTable {
 	table := j.kinds[key]
 	if table == nil {
 		if len(j.kinds) >= j.options.MaxKinds {
-			j.forgetOldestKind()
+			j.evictOldestKind()
 		}
 		table = &kindTable{}
 		j.kinds[key] = table
 	}
-	table.last = now
+	table.lastReport = now
 	return table
 }
 
-func (j *Judge) forgetOldestKind() {
+func (j *Judge) evictOldestKind() {
 	var oldest kindKey
 	var table *kindTable
 	for key, t := range j.kinds {
-		if table == nil || t.last.Before(table.last) {
+		if table == nil || t.lastReport.Before(table.lastReport) {
 			oldest, table = key, t
 		}
 	}
 	delete(j.kinds, oldest)
 }
 
-// others takes medians, so that a few bad agents do not shift the comparison.
-func (t *kindTable) others(name string) others {
+// others returns the medians of the other agents' results, so that a few bad agents do not
+// shift the comparison.
+func (t *kindTable) others(name string) peerStats {
 	var failures, runs [peersPerKind]float64
 	n, timed := 0, 0
 	for i := range t.peers {
@@ -267,14 +267,14 @@
 		if p.agent == name {
 			continue
 		}
-		failures[n] = p.failures
+		failures[n] = p.failureRate
 		n++
 		if p.run > 0 {
 			runs[timed] = p.run
 			timed++
 		}
 	}
-	return others{known: n > 0, failures: median(failures[:n]), run: median(runs[:timed])}
+	return peerStats{known: n > 0, failureRate: median(failures[:n]), run: median(runs[:timed])}
 }
 
 func median(values []float64) float64 {
@@ -285,34 +285,34 @@
 	return values[len(values)/2]
 }
 
-func (t *kindTable) add(name string, r Result, now time.Time) {
+func (t *kindTable) record(name string, r Result, now time.Time) {
 	pos := slices.IndexFunc(t.peers, func(p peer) bool { return p.agent == name })
 	if pos < 0 {
-		pos = t.place(name)
-		t.peers[pos] = peer{agent: name, failures: toFloat(r.Failed)}
+		pos = t.slot(name)
+		t.peers[pos] = peer{agent: name, failureRate: toFloat(r.Failed)}
 	}
 	p := &t.peers[pos]
-	p.last = now
-	p.failures += gain * (toFloat(r.Failed) - p.failures)
+	p.lastReport = now
+	p.failureRate += smoothingFactor * (toFloat(r.Failed) - p.failureRate)
 	switch run := r.Run.Seconds(); {
 	case r.Failed || run <= 0:
 	case p.run == 0:
 		p.run = run
 	default:
-		p.run += gain * (run - p.run)
+		p.run += smoothingFactor * (run - p.run)
 	}
 }
 
-// place returns the position for a new agent, if need be that of the one whose
+// slot returns the index for a new agent. If the table is full, it is that of the agent whose
 // results are oldest.
-func (t *kindTable) place(name string) int {
+func (t *kindTable) slot(name string) int {
 	if len(t.peers) < peersPerKind {
 		t.peers = append(t.peers, peer{agent: name})
 		return len(t.peers) - 1
 	}
 	oldest := 0
 	for i := range t.peers {
-		if t.peers[i].last.Before(t.peers[oldest].last) {
+		if t.peers[i].lastReport.Before(t.peers[oldest].lastReport) {
 			oldest = i
 		}
 	}
--- a/dispatch/health/health_test.go
+++ b/dispatch/health/health_test.go
@@ -39,8 +39,8 @@
 	return found
 }
 
-// One worker fails each task at once, is free again at once, and so would get
-// most of the work: callers would see most jobs fail though ten workers are well.
+// One worker fails each task immediately, is free again at once, and so would get most of the
+// work: callers would see most jobs fail although ten workers are healthy.
 func TestFastFailingAgentIsSuspended(t *testing.T) {
 	j := fleet(11, 4, func(agent, _ int) Result {
 		if agent == 3 {
@@ -53,7 +53,7 @@
 	}
 }
 
-// A customer's job fails wherever it runs. If that counted against workers, the
+// A customer's job fails wherever it runs. If that affected the workers' health state, the
 // other customers would lose them.
 func TestBrokenJobHarmsNoAgent(t *testing.T) {
 	j := fleet(11, 20, func(_, round int) Result {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestNeverMostAgents(t *testing.T) {
+func TestMostAgentsAreNeverSuspended(t *testing.T) {
 	j := fleet(11, 50, func(agent, round int) Result {
 		if agent < 5 && round > 0 {
 			return failed(time.Millisecond)
@@ -79,9 +79,9 @@
 	}
 }
 
-// With a single customer at low load one bad worker may get every task of a kind,
-// and there is nobody to compare it with. It must lose its appeal all the same.
-func TestFailuresWithoutPeersRaiseSlowness(t *testing.T) {
+// With a single customer at low load, one bad worker may get every task of a kind, and there is
+// no other agent to compare it with. It must become less preferred all the same.
+func TestUncomparedFailuresRaiseSlowness(t *testing.T) {
 	j := New(Options{})
 	j.Add("bad")
 	j.Add("idle")
@@ -91,12 +91,12 @@
 	}
 }
 
-// A worker answers everything, only many times slower than the rest. Jobs with
-// one task on it are late; no error tells of it.
+// A worker completes everything, but many times slower than the others. Jobs with a task on it
+// are late, and no error shows it.
 func TestSlowAgent(t *testing.T) {
 	for _, c := range []struct {
-		factor   time.Duration
-		standing place.Standing
+		factor time.Duration
+		state  place.Standing
 	}{{2, place.Open}, {3, place.Open}, {10, place.Suspended}} {
 		j := fleet(11, 15, func(agent, _ int) Result {
 			if agent == 0 {
@@ -104,10 +104,10 @@
 			}
 			return done(100 * time.Millisecond)
 		})
-		if got := j.Standing("0", epoch); got != c.standing {
-			t.Errorf("%d times slower: standing %v", c.factor, got)
+		if got := j.Standing("0", epoch); got != c.state {
+			t.Errorf("%d times slower: health state %v", c.factor, got)
 		}
-		if got := j.Slowness("0"); got < 0.8*float64(c.factor) && c.standing == place.Open {
+		if got := j.Slowness("0"); got < 0.8*float64(c.factor) && c.state == place.Open {
 			t.Errorf("%d times slower: slowness %v", c.factor, got)
 		}
 		if got := j.Slowness("1"); got < 0.8 || got > 1.2 {
@@ -136,7 +136,7 @@
 	}
 	now = now.Add(8 * time.Second)
 	j.Standing("0", now)
-	// The trial task fails everywhere: it tells nothing of the agent.
+	// The trial task fails everywhere, so it says nothing about the agent.
 	for i := range 11 {
 		j.Report(fmt.Sprint(10-i), Result{Contract: "broken", Kind: "k", Failed: true}, now)
 	}
