--- a/dispatch/estimate/estimate_test.go
+++ b/dispatch/estimate/estimate_test.go
@@ -10,7 +10,7 @@
 
 const mb = 1 << 20
 
-func within(t *testing.T, what string, got, low, high float64) {
+func wantBetween(t *testing.T, what string, got, low, high float64) {
 	t.Helper()
 	if got < low || got > high {
 		t.Errorf("%s = %v, want %v to %v", what, got, low, high)
@@ -29,9 +29,9 @@
 	}
 }
 
-// Callers declare a tenth or ten times of what their tasks take. Too low, and a
-// worker is given more than it holds; too high, and slots stay empty.
-func TestEstimateWrongDeclarationFades(t *testing.T) {
+// Callers declare a tenth or ten times of what their tasks take. If the declaration is too low,
+// a worker gets more than it can hold; if it is too high, slots stay empty.
+func TestEstimateWrongDeclarationLosesWeight(t *testing.T) {
 	for _, declared := range []uint64{10 * mb, 1000 * mb} {
 		t.Run(fmt.Sprint(declared/mb), func(t *testing.T) {
 			e := New(Options{})
@@ -44,14 +44,14 @@
 				e.Report("c", "k", Usage{Memory: 100 * mb, Run: 100 * time.Millisecond}, epoch)
 			}
 			got := e.Estimate("c", "k", d, epoch)
-			within(t, "memory", float64(got.Memory)/mb, 100, 150)
-			within(t, "run", got.Run.Seconds(), 0.09, 0.25)
-			within(t, "least run", got.MinRun.Seconds(), 0.08, 0.1)
+			wantBetween(t, "memory", float64(got.Memory)/mb, 100, 150)
+			wantBetween(t, "run", got.Run.Seconds(), 0.09, 0.25)
+			wantBetween(t, "minimum run", got.MinRun.Seconds(), 0.08, 0.1)
 		})
 	}
 }
 
-func TestEstimateTrustsDeclaredRunWhileItHolds(t *testing.T) {
+func TestEstimateTrustsAccurateDeclaredRun(t *testing.T) {
 	e := New(Options{})
 	report := func(n int, declared time.Duration) {
 		for range n {
@@ -61,34 +61,34 @@
 	want := Declared{Run: 2 * time.Second}
 	report(50, 110*time.Millisecond)
 	if got := e.Estimate("c", "k", want, epoch).Run; got != want.Run {
-		t.Errorf("declarations hold: %v", got)
+		t.Errorf("while declarations are accurate: %v", got)
 	}
 	report(50, time.Second)
-	within(t, "run, declarations are off", e.Estimate("c", "k", want, epoch).Run.Seconds(), 0.1, 0.2)
+	wantBetween(t, "run, while declarations are inaccurate", e.Estimate("c", "k", want, epoch).Run.Seconds(), 0.1, 0.2)
 }
 
-func TestEstimateFollowsChange(t *testing.T) {
+func TestEstimateAdaptsToChange(t *testing.T) {
 	e := New(Options{})
 	for _, memory := range []uint64{1000, 100} {
-		for range 3 * window {
+		for range 3 * historyWindow {
 			e.Report("c", "k", Usage{Memory: memory * mb, Run: time.Second}, epoch)
 		}
 	}
 	got := e.Estimate("c", "k", Declared{}, epoch)
-	within(t, "memory", float64(got.Memory)/mb, 100, 140)
+	wantBetween(t, "memory", float64(got.Memory)/mb, 100, 140)
 }
 
-// A kind's tasks became shorter, but its jobs are refused for the run time
-// learned before, so no report can say so. Callers would be refused for good.
-func TestEstimateOldReportsRefuseNothing(t *testing.T) {
+// A kind's tasks became shorter, but its jobs are refused because of the run time learned
+// before, so no report can correct it. Callers must not be refused for ever.
+func TestEstimateOldReportsCauseNoRefusal(t *testing.T) {
 	e := New(Options{})
 	for range 100 {
 		e.Report("c", "k", Usage{Memory: 100 * mb, Run: time.Second}, epoch)
 	}
-	if got := e.Estimate("c", "k", Declared{}, epoch.Add(DefaultFresh)); !got.Certain || got.MinRun == 0 {
+	if got := e.Estimate("c", "k", Declared{}, epoch.Add(DefaultMaxReportAge)); !got.Certain || got.MinRun == 0 {
 		t.Errorf("fresh: %+v", got)
 	}
-	if got := e.Estimate("c", "k", Declared{}, epoch.Add(DefaultFresh+1)); got.Certain || got.MinRun != 0 {
+	if got := e.Estimate("c", "k", Declared{}, epoch.Add(DefaultMaxReportAge+1)); got.Certain || got.MinRun != 0 {
 		t.Errorf("old: %+v", got)
 	}
 }
@@ -103,7 +103,7 @@
 		t.Errorf("%d kinds", e.Kinds())
 	}
 	if got := e.Estimate("c", "0", Declared{Memory: mb}, epoch); got.Memory <= mb {
-		t.Errorf("the kind in use was forgotten: %+v", got)
+		t.Errorf("the kind in use was evicted: %+v", got)
 	}
 }
 
