--- a/dispatch/internal/capacity/capacity_test.go
+++ b/dispatch/internal/capacity/capacity_test.go
@@ -13,8 +13,8 @@
 
 const entriesPerCell = 3
 
-// TestCellServes keeps the benchmarks honest: the cell that they measure answers
-// every job completely.
+// TestCellServes validates the benchmarks: the cell that they measure answers every job
+// completely.
 func TestCellServes(t *testing.T) {
 	c := newCell(entriesPerCell, 10, 4)
 	for i := range 40 {
@@ -25,13 +25,12 @@
 	if got := c.answers[pb.Outcome_OUTCOME_COMPLETE]; got != 40 {
 		t.Errorf("%d of 40 jobs complete; outcomes %v", got, c.answers)
 	}
-	if c.frames == 0 || c.entryTime == 0 || c.agentDur == 0 {
+	if c.frames == 0 || c.entryTime == 0 || c.agentTime == 0 {
 		t.Error("nothing was measured")
 	}
 }
 
-// BenchmarkIdle lets a minute pass in a cell without work and reports the cost
-// of a second.
+// BenchmarkIdle lets a minute pass in a cell without work and reports the cost per second.
 func BenchmarkIdle(b *testing.B) {
 	for _, agents := range []int{11, 50, 100, 200, 400, 1000} {
 		b.Run(fmt.Sprintf("entries=3/agents=%d", agents), func(b *testing.B) {
@@ -44,7 +43,7 @@
 				seconds += time.Minute.Seconds()
 			}
 			b.ReportMetric(float64(c.entryTime.Nanoseconds())/seconds/entriesPerCell, "entry-ns/s")
-			b.ReportMetric(float64(c.agentDur.Nanoseconds())/seconds/float64(agents), "agent-ns/s")
+			b.ReportMetric(float64(c.agentTime.Nanoseconds())/seconds/float64(agents), "agent-ns/s")
 			b.ReportMetric(float64(c.bytes)/seconds/entriesPerCell, "entry-B/s")
 			b.ReportMetric(float64(c.bytes)/seconds/float64(agents), "agent-B/s")
 			b.ReportMetric(0, "ns/op")
@@ -52,8 +51,8 @@
 	}
 }
 
-// BenchmarkJobs sends jobs at a rate that keeps half of the slots busy and
-// reports the cost of a task.
+// BenchmarkJobs submits jobs at a rate that keeps half of the slots busy and reports the cost
+// per task.
 func BenchmarkJobs(b *testing.B) {
 	for _, agents := range []int{11, 100, 400} {
 		for _, tasks := range []int{1, 16, 160} {
@@ -64,8 +63,8 @@
 	}
 }
 
-// BenchmarkWaiting sweeps the tasks that wait while jobs of one task arrive as
-// fast as they are served.
+// BenchmarkWaiting sweeps the number of waiting tasks while jobs of one task arrive as fast as
+// they are served.
 func BenchmarkWaiting(b *testing.B) {
 	const agents, contractCount = 11, 41
 	for _, waiting := range []int{0, 1_000, 10_000, 50_000} {
@@ -114,7 +113,7 @@
 		jobs++
 		c.advance(gap)
 	}
-	// What comes with new links and first estimates is over by then.
+	// The warm-up covers the work caused by new links and first estimates.
 	for warm := c.now.Add(3 * time.Second); c.now.Before(warm); {
 		step()
 	}
@@ -125,14 +124,14 @@
 	}
 	sent := float64((jobs - first) * tasks)
 	b.ReportMetric(float64(c.entryTime.Nanoseconds())/sent, "entry-ns/task")
-	b.ReportMetric(float64(c.agentDur.Nanoseconds())/sent, "agent-ns/task")
+	b.ReportMetric(float64(c.agentTime.Nanoseconds())/sent, "agent-ns/task")
 	b.ReportMetric(float64(c.frames)/sent, "frames/task")
 	b.ReportMetric(float64(c.bytes)/sent, "B/task")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkRestart replaces agents by new incarnations and reports what each
-// costs an entry, from the announcement to the credits.
+// BenchmarkRestart replaces agents by new incarnations and reports the cost of each to an
+// entry, from the announcement to the credits.
 func BenchmarkRestart(b *testing.B) {
 	for _, agents := range []int{11, 100, 400} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -149,8 +148,8 @@
 	}
 }
 
-// BenchmarkDomainLost cuts a third of the agents off, each running tasks, and
-// reports what an entry spends until it has given them all up.
+// BenchmarkDomainLost cuts off a third of the agents while they run tasks, and reports the time
+// that an entry spends until it has abandoned all of these tasks.
 func BenchmarkDomainLost(b *testing.B) {
 	for _, agents := range []int{33, 99, 399} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -161,7 +160,7 @@
 					c.submit(i, 1, 1)
 				}
 				c.reset()
-				c.loseDomain()
+				c.failDomain()
 				c.advance(15 * time.Second)
 				spent += c.entryTime
 			}
@@ -171,18 +170,18 @@
 	}
 }
 
-// BenchmarkMemory reports the live heap per agent, per contract, per job in
-// flight, and per answered job that the entry still remembers.
+// BenchmarkMemory reports the live heap per agent, per contract, per job in flight, and per
+// answered job that the entry still remembers.
 func BenchmarkMemory(b *testing.B) {
 	b.Run("agent-at-entry", func(b *testing.B) {
-		perUnit(b, 400, func(n int) any { return newCell(1, n, 1) })
+		heapPerUnit(b, 400, func(n int) any { return newCell(1, n, 1) })
 	})
 	b.Run("contract-at-entry", func(b *testing.B) {
-		perUnit(b, 400, func(n int) any { return newCell(1, 1, n) })
+		heapPerUnit(b, 400, func(n int) any { return newCell(1, 1, n) })
 	})
 	for _, tasks := range []int{1, 16} {
 		b.Run(fmt.Sprintf("job-in-flight/tasks=%d", tasks), func(b *testing.B) {
-			perUnit(b, 2000, func(n int) any {
+			heapPerUnit(b, 2000, func(n int) any {
 				c := newCell(1, 200, 1)
 				for i := range n {
 					c.submit(i, tasks, 1)
@@ -194,7 +193,7 @@
 			})
 		})
 		b.Run(fmt.Sprintf("job-remembered/tasks=%d", tasks), func(b *testing.B) {
-			perUnit(b, 2000, func(n int) any {
+			heapPerUnit(b, 2000, func(n int) any {
 				c := newCell(1, 100, 1)
 				for i := range n {
 					c.submit(i, tasks, 1)
@@ -210,8 +209,8 @@
 	}
 }
 
-// perUnit reports the growth of the heap from no unit to n units, per unit.
-func perUnit(b *testing.B, n int, build func(n int) any) {
+// heapPerUnit reports the growth of the heap from no unit to n units, per unit.
+func heapPerUnit(b *testing.B, n int, build func(n int) any) {
 	var grown float64
 	for b.Loop() {
 		small := build(1)
@@ -225,8 +224,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkExchange reports what entries tell each other: the encoded size of
-// one state, and what an entry spends to take one in.
+// BenchmarkExchange reports the cost of the exchange between entries: the encoded size of one
+// state, and the time that an entry spends on applying one.
 func BenchmarkExchange(b *testing.B) {
 	for _, entries := range []int{3, 9, 15} {
 		b.Run(fmt.Sprintf("entries=%d/contracts=41", entries), func(b *testing.B) {
--- a/dispatch/internal/capacity/cell_test.go
+++ b/dispatch/internal/capacity/cell_test.go
@@ -21,9 +21,9 @@
 	taskRun = 150 * time.Millisecond
 )
 
-var begin = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// cell is entries and agents that are all linked.
+// cell is a set of entries and agents that are all linked with each other.
 type cell struct {
 	now     time.Time
 	entries []*entryNode
@@ -31,12 +31,12 @@
 	byName  map[string]*agentNode
 	byEntry map[string]*entryNode
 	running runHeap
-	// frames on their way
+	// inFlight delivers the frames in flight, in the order in which they were sent.
 	inFlight []func()
 
-	frames, bytes       int
-	entryTime, agentDur time.Duration
-	answers             map[pb.Outcome]int
+	frames, bytes        int
+	entryTime, agentTime time.Duration
+	answers              map[pb.Outcome]int
 }
 
 type entryNode struct {
@@ -70,7 +70,7 @@
 	return last
 }
 
-// contracts are n that no limit of holds anything back.
+// contracts returns n contracts whose limits hold nothing back.
 func contracts(n int) map[string]*pb.Contract {
 	list := make(map[string]*pb.Contract, n)
 	for i := range n {
@@ -85,7 +85,7 @@
 
 func newCell(entries, agents, contractCount int) *cell {
 	c := &cell{
-		now: begin, byName: map[string]*agentNode{}, byEntry: map[string]*entryNode{}, answers: map[pb.Outcome]int{},
+		now: startTime, byName: map[string]*agentNode{}, byEntry: map[string]*entryNode{}, answers: map[pb.Outcome]int{},
 	}
 	inForce := contracts(contractCount)
 	names := make([]string, 0, len(inForce))
@@ -99,7 +99,7 @@
 	for i, id := range ids {
 		n := &entryNode{id: id, core: entry.New(entry.Options{
 			Hello:    &pb.EntryHello{Entry: fmt.Sprint("entry-", i), Incarnation: id, Address: "10.0.0.1:7401"},
-			Started:  begin,
+			Started:  startTime,
 			Contract: func(name string) *pb.Contract { return inForce[name] },
 			MaxJobs:  1 << 30,
 			Events:   event.NewRing(event.Options{Process: fmt.Sprint("entry-", i)}),
@@ -125,11 +125,11 @@
 	for _, e := range c.entries {
 		c.serveEntry(e)
 	}
-	c.carry()
+	c.deliverFrames()
 }
 
-// loseDomain makes a third of the agents vanish; the entries notice by silence.
-func (c *cell) loseDomain() {
+// failDomain makes a third of the agents vanish; the entries notice it by timeouts.
+func (c *cell) failDomain() {
 	for i := 0; i < len(c.agents); i += 3 {
 		c.agents[i].lost = true
 	}
@@ -146,18 +146,18 @@
 	})}
 	c.byName[n.name] = n
 	for _, e := range c.entries {
-		c.onEntry(func() { e.core.AgentSeen(c.now, hello, false, false) })
+		c.timeEntry(func() { e.core.AgentSeen(c.now, hello, false, false) })
 	}
 	return n
 }
 
 func (c *cell) reset() {
-	c.frames, c.bytes, c.entryTime, c.agentDur = 0, 0, 0, 0
+	c.frames, c.bytes, c.entryTime, c.agentTime = 0, 0, 0, 0
 	clear(c.answers)
 }
 
-// settle serves every node and carries frames, in the order in which they were
-// sent, until none is left.
+// settle serves every node and delivers frames, in the order in which they were sent, until
+// none is left.
 func (c *cell) settle() {
 	for _, e := range c.entries {
 		c.serveEntry(e)
@@ -165,10 +165,10 @@
 	for _, a := range c.agents {
 		c.serveAgent(a)
 	}
-	c.carry()
+	c.deliverFrames()
 }
 
-func (c *cell) carry() {
+func (c *cell) deliverFrames() {
 	for len(c.inFlight) > 0 {
 		deliver := c.inFlight[0]
 		c.inFlight = c.inFlight[1:]
@@ -179,7 +179,7 @@
 // serveEntry does what a driver does after each input.
 func (c *cell) serveEntry(e *entryNode) {
 	var ready entry.Ready
-	c.onEntry(func() {
+	c.timeEntry(func() {
 		ready = e.core.Ready(c.now)
 		e.core.Next()
 	})
@@ -201,7 +201,7 @@
 			continue
 		}
 		c.inFlight = append(c.inFlight, func() {
-			c.onAgent(func() { a.core.Step(c.now, e.id, out.Epoch, out.Frame) })
+			c.timeAgent(func() { a.core.Step(c.now, e.id, out.Epoch, out.Frame) })
 			c.serveAgent(a)
 		})
 	}
@@ -216,7 +216,7 @@
 		return
 	}
 	var ready agent.Ready
-	c.onAgent(func() {
+	c.timeAgent(func() {
 		ready = a.core.Ready(c.now)
 		a.core.Next()
 	})
@@ -227,7 +227,7 @@
 		c.count(out.Frame)
 		e := c.byEntry[out.Entry]
 		c.inFlight = append(c.inFlight, func() {
-			c.onEntry(func() { e.core.Step(c.now, a.name, out.Epoch, out.Frame) })
+			c.timeEntry(func() { e.core.Step(c.now, a.name, out.Epoch, out.Frame) })
 			c.serveEntry(e)
 		})
 	}
@@ -238,20 +238,20 @@
 	c.bytes += proto.Size(m)
 }
 
-func (c *cell) onEntry(f func()) {
+func (c *cell) timeEntry(f func()) {
 	at := time.Now()
 	f()
 	c.entryTime += time.Since(at)
 }
 
-func (c *cell) onAgent(f func()) {
+func (c *cell) timeAgent(f func()) {
 	at := time.Now()
 	f()
-	c.agentDur += time.Since(at)
+	c.agentTime += time.Since(at)
 }
 
-// advance lets d pass. Each node that is due is served as its driver would: one
-// input, Ready, and the question when it is due next.
+// advance lets d pass. Each node that is due is served as its driver would serve it: one input,
+// a call of Ready, and a call of Next.
 func (c *cell) advance(d time.Duration) {
 	end := c.now.Add(d)
 	for {
@@ -270,8 +270,8 @@
 		if next.After(c.now) {
 			c.now = next
 		}
-		c.due()
-		c.carry()
+		c.handleDue()
+		c.deliverFrames()
 		if !c.now.Before(end) {
 			return
 		}
@@ -285,10 +285,10 @@
 	return a
 }
 
-func (c *cell) due() {
+func (c *cell) handleDue() {
 	for len(c.running) > 0 && !c.running[0].until.After(c.now) {
 		r := heap.Pop(&c.running).(run)
-		c.onAgent(func() {
+		c.timeAgent(func() {
 			r.at.core.TaskEnded(c.now, r.ref, &pb.TaskResult{
 				Outcome: pb.Outcome_OUTCOME_COMPLETE, RunMillis: uint32(taskRun.Milliseconds()), PeakMemoryBytes: gib / 4,
 				Body: []byte("a result of forty bytes, as gauges are.."),
@@ -301,19 +301,19 @@
 			continue
 		}
 		if next := a.core.Next(); !next.IsZero() && !next.After(c.now) {
-			c.onAgent(func() { a.core.Tick(c.now) })
+			c.timeAgent(func() { a.core.Tick(c.now) })
 			c.serveAgent(a)
 		}
 	}
 	for _, e := range c.entries {
 		if next := e.core.Next(); !next.IsZero() && !next.After(c.now) {
-			c.onEntry(func() { e.core.Tick(c.now) })
+			c.timeEntry(func() { e.core.Tick(c.now) })
 			c.serveEntry(e)
 		}
 	}
 }
 
-// submit gives a job to the next entry in turn.
+// submit submits a job to the next entry in turn.
 func (c *cell) submit(number, tasks, contractCount int) {
 	e := c.entries[number%len(c.entries)]
 	j := &pb.Job{
@@ -323,23 +323,23 @@
 	for range tasks {
 		j.Tasks = append(j.Tasks, &pb.Task{Payload: []byte("a payload of forty bytes, as gauges are.."), MemoryBytes: gib / 4})
 	}
-	c.onEntry(func() { e.core.Submit(c.now, j) })
+	c.timeEntry(func() { e.core.Submit(c.now, j) })
 	c.serveEntry(e)
-	c.carry()
+	c.deliverFrames()
 }
 
-// exchange lets every entry tell its shares to every other.
+// exchange sends the shares of every entry to every other.
 func (c *cell) exchange() {
 	for _, from := range c.entries {
 		for _, to := range c.entries {
 			if from != to {
-				c.onEntry(func() { to.core.SharesSeen(c.now, from.core.ShareState()) })
+				c.timeEntry(func() { to.core.SharesSeen(c.now, from.core.ShareState()) })
 			}
 		}
 	}
 }
 
-// heapBytes is the live heap.
+// heapBytes returns the size of the live heap.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
