--- a/dispatch/internal/indexheap/indexheap.go
+++ b/dispatch/internal/indexheap/indexheap.go
@@ -1,28 +1,28 @@
-// Package indexheap is a binary min-heap whose items know their places in it.
+// Package indexheap implements a binary min-heap whose items know their own positions.
 package indexheap
 
-// Item is an element that knows its own position, so that it can be removed or moved
-// in O(log n) without a search.
+// Item is an element that knows its own position, so that it can be removed or moved in O(log
+// n) without a search.
 type Item[T any] interface {
-	// Before reports whether it goes before other.
+	// Before reports whether the item sorts before other.
 	Before(other T) bool
-	// SetPos tells it its position; Absent: it is no longer in the heap.
+	// SetPos sets the item's position, or Absent if it is no longer in the heap.
 	SetPos(pos int)
 }
 
 // Absent is the position of an item outside its heap.
 const Absent = -1
 
-// Heap is ready to use as its zero value. Unlike container/heap it boxes nothing, so
-// that pushing and popping does not allocate once the slice has grown.
+// Heap is a binary min-heap; its zero value is empty and ready to use. Unlike container/heap it
+// boxes no items, so pushing and popping does not allocate once the slice has grown.
 type Heap[T Item[T]] struct {
 	items []T
 }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// First is the item that goes before all others; there must be one.
+// First returns the minimum item. The heap must not be empty.
 func (h *Heap[T]) First() T { return h.items[0] }
 
 // Push adds an item.
@@ -32,7 +32,7 @@
 	h.up(len(h.items) - 1)
 }
 
-// Remove takes out the item at a position.
+// Remove removes the item at a position.
 func (h *Heap[T]) Remove(pos int) {
 	last := len(h.items) - 1
 	removed := h.items[pos]
@@ -46,7 +46,7 @@
 	}
 }
 
-// Fix finds the place of the item at a position anew, after its order has changed.
+// Fix restores the heap order after the order of the item at a position has changed.
 func (h *Heap[T]) Fix(pos int) {
 	if !h.down(pos) {
 		h.up(pos)
