--- a/dispatch/runner/delay.go
+++ b/dispatch/runner/delay.go
@@ -49,7 +49,7 @@
 	return true
 }
 
-// recordSent records that a frame is recordSent to the entry.
+// recordSent records that a frame is sent to the entry.
 func (d *frameDelay) recordSent(now time.Time, seq uint64) {
 	d.frames[seq%maxTrackedFrames] = sentFrame{seq, now}
 }
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -64,9 +64,9 @@
 	e.flushNow = true
 }
 
-// notifyDeferred queues an update for the next frame, which need not be sent before
-// maxNotifyDelay. The start of a run changes no decision of the entry as long as nothing fails,
-// and a frame of its own would be a third of the frames that a short task costs.
+// notifyDeferred queues an update for the next frame, which is sent within maxNotifyDelay. The
+// start of a run changes no decision of the entry as long as nothing fails, and a frame of its
+// own would be a third of the frames that a short task costs.
 func (e *entry) notifyDeferred(now time.Time, n *pb.OrderNews) {
 	e.unsent = append(e.unsent, n)
 	if e.flushBy.IsZero() {
