--- a/dispatch/link/link.go
+++ b/dispatch/link/link.go
@@ -145,7 +145,8 @@
 	return !now.Before(s.lastReceived.Add(s.opts.HeartbeatTimeout))
 }
 
-// Next returns when Due or Silent may become true; zero for a link that is down.
+// Next returns when a frame becomes due or the link times out if nothing is sent or received
+// until then; zero for a link that is down.
 func (s *Session) Next() time.Time {
 	if !s.up {
 		return time.Time{}
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -31,7 +31,7 @@
 	// that carried each. They are sent again after a lost link.
 	unacked []sentUpdate
 
-	// retiring is set while this side closes the link; see Retire. The frame numbered retireSeq
+	// retiring is set while this side closes the link; see retire.go. The frame numbered retireSeq
 	// announced it; zero if none has yet.
 	retiring  bool
 	retireSeq uint64
--- a/dispatch/runner/messages.go
+++ b/dispatch/runner/messages.go
@@ -87,6 +87,6 @@
 	// Redial lists the entries, by incarnation, whose link must be closed and opened again.
 	Redial []string
 	// Closed lists the entries, by incarnation, whose link is no longer used and must be
-	// closed; see Retire.
+	// closed; see retire.go.
 	Closed []string
 }
--- a/dispatch/runner/poll.go
+++ b/dispatch/runner/poll.go
@@ -92,7 +92,7 @@
 
 // Seen is the worker's answer to a poll.
 type Seen struct {
-	// Born is when the answering incarnation started; see Life.
+	// Born is when the answering incarnation started, as in a worker's report.
 	Born    int64
 	Clock   time.Duration
 	Running []Row
--- a/dispatch/runner/reasons.go
+++ b/dispatch/runner/reasons.go
@@ -22,7 +22,7 @@
 	ReasonStopped = "stopped before it began"
 )
 
-// Reasons of lost runs. Entries act on ReasonCrashed.
+// Reasons of lost runs. Entries act on the first.
 const (
 	// ReasonCrashed: the worker crashed soon after it was told to start the run.
 	ReasonCrashed = "worker crashed at the start"
--- a/dispatch/runner/retire.go
+++ b/dispatch/runner/retire.go
@@ -22,7 +22,7 @@
 	r.logDecision(now, Decision{Event: "link_retiring", Entry: e.name})
 }
 
-// Keep reverts Retire while the link is open.
+// Keep cancels the closing of a link while the link is still open.
 func (r *Runner) Keep(now time.Time, incarnation string) {
 	e := r.entry(incarnation)
 	if e == nil || !e.retiring || !e.session.IsUp() {
