--- a/node/entry/auth.go
+++ b/node/entry/auth.go
@@ -13,13 +13,14 @@
 
 const bearer = "Bearer "
 
-// authorize returns why a caller may not act for a contract, nil if it may. A
-// contract without a token is open to every caller that reaches the port.
+// authorize returns a refusal if the caller may not use the contract, and nil if
+// it may. A contract without a token is open to every caller that reaches the port.
 func (e *Entry) authorize(r *http.Request, id string, rq request) *pb.Answer {
 	c := e.opts.Contract(rq.contract)
 	if c == nil || c.Deleted {
 		if len(rq.job.Tasks) > 0 {
-			// The home refuses it, and knows whether the id was used before.
+			// The job's home refuses it, since only the home knows whether the id was
+			// used before.
 			return nil
 		}
 		return denial(id, rq, jobs.CodeUnknownContract, "no such contract")
@@ -29,14 +30,15 @@
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
 	if !ok || !tokenMatches(token, c.TokenSha256) {
-		return denial(id, rq, jobs.CodeUnauthorized, "the contract asks for its bearer token")
+		return denial(id, rq, jobs.CodeUnauthorized, "the contract requires its bearer token")
 	}
 	return nil
 }
 
-// denial refuses a caller. Under an id that it brought, the job may have run
-// before the contract's token was changed or the contract deleted; "not run"
-// would then have the caller do again what was done.
+// denial returns the answer to a request that is refused at this entry. A job
+// whose id the caller supplied may have run before the contract's token changed or
+// the contract was deleted. Its outcome is unknown: "not run" would make the caller
+// repeat work that was done.
 func denial(id string, rq request, code jobs.Code, message string) *pb.Answer {
 	a := refusal(id, code, message)
 	if !rq.fresh {
@@ -45,13 +47,13 @@
 	return a
 }
 
-// tokenMatches compares in constant time, so that the time taken tells nothing
-// of the digest.
+// tokenMatches reports whether digest is the hex SHA-256 of token. It compares in
+// constant time, so that the time taken reveals nothing about the digest.
 func tokenMatches(token, digest string) bool {
-	want, err := hex.DecodeString(digest)
+	wantDigest, err := hex.DecodeString(digest)
 	if err != nil {
 		return false
 	}
 	got := sha256.Sum256([]byte(token))
-	return subtle.ConstantTimeCompare(got[:], want) == 1
+	return subtle.ConstantTimeCompare(got[:], wantDigest) == 1
 }
--- a/node/entry/callers.go
+++ b/node/entry/callers.go
@@ -16,10 +16,10 @@
 	"github.com/papayahoist/papayahoist/dispatch/job"
 )
 
-// bodyTimeout bounds how long a caller may take to send a body.
+// bodyTimeout limits how long a caller may take to send a request body.
 const bodyTimeout = 10 * time.Second
 
-// callersHandler serves the callers' interface of api/jobs.
+// callersHandler serves the callers' HTTP API defined in api/jobs.
 func (e *Entry) callersHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(e.withHome)
@@ -27,18 +27,18 @@
 	r.Post(jobs.PathJobs, e.handleSubmit)
 	r.Get(jobs.PathJobs+"/{id}", e.handleFetch)
 	r.Delete(jobs.PathJobs+"/{id}", e.handleCancel)
-	r.NotFound(handleNoPath)
-	r.MethodNotAllowed(handleNoMethod)
+	r.NotFound(handleNotFound)
+	r.MethodNotAllowed(handleMethodNotAllowed)
 	return r
 }
 
-func handleNoPath(w http.ResponseWriter, _ *http.Request) {
+func handleNotFound(w http.ResponseWriter, _ *http.Request) {
 	writeError(w, refusal("", jobs.CodeNotFound, "no such path; see the documentation of the callers' interface"))
 }
 
-func handleNoMethod(w http.ResponseWriter, _ *http.Request) {
+func handleMethodNotAllowed(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusMethodNotAllowed, jobs.Error{
-		Code: jobs.CodeBadRequest, Outcome: jobs.OutcomeNotRun, Message: "the path does not take this method",
+		Code: jobs.CodeBadRequest, Outcome: jobs.OutcomeNotRun, Message: "the path does not support this method",
 	})
 }
 
@@ -61,7 +61,8 @@
 
 func (e *Entry) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	var in jobs.SubmitRequest
-	// A body that trickles in would hold a connection and its buffers for ever.
+	// Without a deadline, a body that trickles in would hold a connection and its
+	// buffers forever.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, jobs.MaxBody))
 	dec.DisallowUnknownFields()
@@ -70,7 +71,7 @@
 		return
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		writeError(w, denial(in.ID, request{fresh: neverUsed(in.ID)}, jobs.CodeBadRequest, "the body goes on after the JSON value"))
+		writeError(w, denial(in.ID, request{fresh: neverUsed(in.ID)}, jobs.CodeBadRequest, "the body has data after the JSON value"))
 		return
 	}
 	if msg := e.check(&in); msg != "" {
@@ -81,11 +82,11 @@
 	if fresh {
 		in.ID = e.token() + "." + rand.Text()
 	}
-	e.respond(w, r, in.ID, request{job: toJob(&in), contract: in.Contract, fresh: fresh, wait: waitOf(in.WaitMillis)})
+	e.respond(w, r, in.ID, request{job: toJob(&in), contract: in.Contract, fresh: fresh, wait: clampWait(in.WaitMillis)})
 }
 
-// neverUsed reports whether no job can have run under an id: there is none, or
-// none that any entry takes.
+// neverUsed reports whether no job can have run under id, because it is empty or
+// not valid at any entry.
 func neverUsed(id string) bool {
 	if id == "" {
 		return true
@@ -111,7 +112,7 @@
 	return ""
 }
 
-func waitOf(millis uint32) time.Duration {
+func clampWait(millis uint32) time.Duration {
 	d := time.Duration(millis) * time.Millisecond
 	if d == 0 || d > jobs.MaxWait {
 		return jobs.MaxWait
@@ -147,7 +148,8 @@
 	e.respond(w, r, id, request{job: &pb.Job{Id: id}, contract: r.URL.Query().Get("contract"), cancel: true, wait: jobs.MaxWait})
 }
 
-// respond serves a request wherever the job's home is and writes the outcome.
+// respond serves a request, forwarding it if the job's home is another entry, and
+// writes the response.
 func (e *Entry) respond(w http.ResponseWriter, r *http.Request, id string, rq request) {
 	if denied := e.authorize(r, id, rq); denied != nil {
 		writeError(w, denied)
@@ -226,7 +228,7 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller has gone: it asks again
+	_ = json.NewEncoder(w).Encode(v) // on error the caller has disconnected; it can fetch the answer again
 }
 
 // NewIncarnation returns 128 random bits in hex.
--- a/node/entry/callers_test.go
+++ b/node/entry/callers_test.go
@@ -16,8 +16,8 @@
 	"github.com/papayahoist/papayahoist/node/entry"
 )
 
-// A caller sends what no client of ours would send, or asks for what is not its
-// own. It must hear at once what is wrong, and nothing may be started for it.
+// Malformed or unauthorized requests must be refused at once with a code and a
+// message, and must start nothing.
 func TestCallersRefused(t *testing.T) {
 	digest := sha256.Sum256([]byte("secret"))
 	contracts := map[string]*pb.Contract{
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry drives the decisions of dispatch/entry: it serves callers and
-// nodes, keeps the links to agents, and carries out what is decided.
+// Package entry does the I/O for the state machine in dispatch/entry: it serves
+// callers, agents and other entries, maintains the links to agents, and carries
+// out the actions that the state machine returns.
 package entry
 
 import (
@@ -30,93 +31,101 @@
 // Errors of this package.
 var (
 	Errors = errorx.NewNamespace("node.entry")
-	// ErrStart is given when an entry can't begin to serve.
+	// ErrStart is returned when an entry can't start serving.
 	ErrStart = Errors.NewType("start")
-	// ErrLeaving makes an entry not ready that shuts down.
+	// ErrLeaving is the readiness error of an entry that is shutting down.
 	ErrLeaving = Errors.NewType("leaving")
 )
 
 // Options configure an Entry.
 type Options struct {
-	// Hello names the entry; Address is filled in from the listener when empty.
+	// Hello identifies the entry. An empty Address or OperatorAddress is set from
+	// its listener.
 	Hello *pb.EntryHello
-	// Listen addresses, IP and port.
+	// Listen addresses, each an IP and a port.
 	CallersListen, NodesListen, OperatorsListen string
-	// Contract returns the contract in force; it must not block.
+	// Contract returns the contract in force, or nil. It must not block.
 	Contract func(name string) *pb.Contract
-	// Peers returns the living entries; it must not block.
+	// Peers returns the live entries. It must not block.
 	Peers func() []*pb.Peer
-	// FindPeer returns the entry with an incarnation that may be reached, nil for
-	// none; it must not block. Nil: Peers are searched.
+	// FindPeer returns the entry with the given incarnation if it may be reachable,
+	// otherwise nil. It must not block. If it is nil, Peers are searched.
 	FindPeer func(incarnation string) *pb.Peer
-	// Exchange answers another entry's exchange of state; nil: none is served.
+	// Exchange handles another entry's state and returns this entry's. If it is
+	// nil, the call is not served.
 	Exchange func(*pb.PeerState) *pb.PeerState
-	// ExchangeNow begins an exchange with every other entry; it must not block.
-	// Nil: there are only the regular ones.
+	// ExchangeNow starts an exchange with every other entry. It must not block. If
+	// it is nil, only the periodic exchanges take place.
 	ExchangeNow func()
-	// Ready returns why the entry can't serve yet, or nil; nil: it always can.
+	// Ready returns why the entry can't serve yet, or nil if it can. If it is nil,
+	// the entry is ready as soon as it runs.
 	Ready func() error
-	// Contracts lists those in force, for operators; it must not block. Nil: those
-	// that callers have used are listed.
+	// Contracts returns the contracts in force, for the operators' status. It must
+	// not block. If it is nil, the status lists the contracts that callers have used.
 	Contracts func() []*pb.Contract
-	// ConfigRevision is up to which revision no change of a contract is missing; it
-	// must not block. Nil: the highest of those in force is shown.
+	// ConfigRevision returns the revision up to which every change of a contract is
+	// known. It must not block. If it is nil, the status shows the highest revision
+	// of the contracts in force.
 	ConfigRevision func() uint64
-	// StoreError tells why the platform's store can't be used, empty if it can; it
-	// must not block. Nil: never.
+	// StoreError returns why the platform's store is unavailable, or an empty string
+	// if it is available. It must not block. If it is nil, the store counts as
+	// available.
 	StoreError func() string
-	// OperatorsTLS is for the operators' port; nil: none.
+	// OperatorsTLS secures the operators' port; nil means no TLS.
 	OperatorsTLS *tls.Config
-	// Gatherer is what Metrics are registered with, for the operators' port.
+	// Gatherer is the registry of Metrics, served on the operators' port.
 	Gatherer prometheus.Gatherer
 	// Version is shown to operators.
 	Version string
-	// NodesTLS is for both directions between our processes; nil: none.
+	// NodesTLS secures connections from and to agents and other entries; nil means
+	// no TLS.
 	NodesTLS *tls.Config
-	// CallersTLS is for the callers' port; nil: none.
+	// CallersTLS secures the callers' port; nil means no TLS.
 	CallersTLS *tls.Config
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout limits the drain of a planned stop. Zero means
+	// DefaultDrainTimeout.
 	DrainTimeout time.Duration
-	// Core sets the times of the decisions; its Hello, Started and Contract are
-	// filled in here.
+	// Core configures the state machine. New sets its Hello, Started, Random and
+	// Contract.
 	Core entry.Options
-	// Metrics are the entry's collectors; nil: counted nowhere.
+	// Metrics are the entry's collectors. If it is nil, the metrics are discarded.
 	Metrics *metrics.Entry
 	Logger  *slog.Logger
 }
 
-// DefaultDrainTimeout bounds a planned stop.
+// DefaultDrainTimeout is the default of Options.DrainTimeout.
 const DefaultDrainTimeout = 30 * time.Second
 
 // Entry is one entry process.
 type Entry struct {
-	opts    Options
-	log     *slog.Logger
-	callers net.Listener
-	nodes   net.Listener
-	admin   net.Listener
-	ctx     context.Context // of the links; ends when Run does
-	cancel  context.CancelFunc
-	killed  atomic.Bool
+	opts      Options
+	log       *slog.Logger
+	callers   net.Listener
+	nodes     net.Listener
+	operators net.Listener
+	ctx       context.Context // of the links; cancelled when Run ends
+	cancel    context.CancelFunc
+	killed    atomic.Bool
 
 	clients        *rpc.Clients // for other entries
 	forwardRetries *retry.Policy
 	leaving        atomic.Bool
 
-	mu      sync.Mutex // guards what follows, and serializes the core
-	core    *entry.Entry
-	links   map[string]*agentLink        // by agent name
-	waiters map[string][]chan *pb.Answer // by job.Name
-	heard   map[string]uint64            // clock of the last state with shares, by entry incarnation
-	told    []string                     // the entries that agents were told of
-	timer   *rpc.Timer
+	mu             sync.Mutex // guards the fields below and serializes calls to core
+	core           *entry.Entry
+	links          map[string]*agentLink        // by agent name
+	waiters        map[string][]chan *pb.Answer // by job.Name
+	sharesReceived map[string]uint64            // clock of the last state received with shares, by entry incarnation
+	advertised     []string                     // entries last advertised to agents
+	timer          *rpc.Timer
 
-	shares      *pb.ShareState    // as last told, and since when they are so
-	sharesAt    uint64            // clock
-	sharesKnown map[string]uint64 // clock of the state whose shares another has
+	shares      *pb.ShareState    // as last reported to other entries
+	sharesClock uint64            // clock of the first state with these shares
+	sharesAcked map[string]uint64 // clock of the last state whose shares an entry has acknowledged, by its incarnation
 }
 
-// New binds the entry's ports, so that its addresses are known before it runs.
+// New returns an entry that listens on its ports but serves nothing until Run is
+// called. Its addresses are known from then on.
 func New(opts Options) (*Entry, error) {
 	opts.DrainTimeout = cmp.Or(opts.DrainTimeout, DefaultDrainTimeout)
 	if opts.Metrics == nil {
@@ -131,7 +140,7 @@
 	for _, l := range []struct {
 		to      *net.Listener
 		address string
-	}{{&e.callers, opts.CallersListen}, {&e.nodes, opts.NodesListen}, {&e.admin, opts.OperatorsListen}} {
+	}{{&e.callers, opts.CallersListen}, {&e.nodes, opts.NodesListen}, {&e.operators, opts.OperatorsListen}} {
 		if l.address == "" {
 			continue
 		}
@@ -156,25 +165,26 @@
 	return e, nil
 }
 
-// CallersAddress is where callers are served.
+// CallersAddress returns the listen address for callers.
 func (e *Entry) CallersAddress() string { return e.callers.Addr().String() }
 
-// NodesAddress is where agents and other entries are served.
+// NodesAddress returns the announced address for agents and other entries.
 func (e *Entry) NodesAddress() string { return e.opts.Hello.Address }
 
-// ListenAddress is where the nodes port is bound, also when another address
-// is announced.
+// ListenAddress returns the listen address for agents and other entries, which may
+// differ from the announced one.
 func (e *Entry) ListenAddress() string { return e.nodes.Addr().String() }
 
-// OperatorsAddress is where operators are served; empty without that port.
+// OperatorsAddress returns the listen address for operators, or an empty string if
+// the entry has no operators' port.
 func (e *Entry) OperatorsAddress() string {
-	if e.admin == nil {
+	if e.operators == nil {
 		return ""
 	}
-	return e.admin.Addr().String()
+	return e.operators.Addr().String()
 }
 
-// Links is the number of agents with an open link.
+// Links returns the number of agents with an open link.
 func (e *Entry) Links() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -182,24 +192,24 @@
 }
 
 func (e *Entry) closeListeners() {
-	for _, l := range []net.Listener{e.callers, e.nodes, e.admin} {
+	for _, l := range []net.Listener{e.callers, e.nodes, e.operators} {
 		if l != nil {
 			_ = l.Close()
 		}
 	}
 }
 
-// Run serves until the context ends, then drains: no new jobs, and the end comes
-// when every job has its answer or DrainTimeout has passed.
+// Run serves until the context ends, then drains: it admits no new jobs and returns
+// once every job is answered or DrainTimeout has passed.
 func (e *Entry) Run(ctx context.Context) error {
 	servers := []*http.Server{
 		rpc.NewServer(e.callersHandler(), e.opts.CallersTLS),
 		rpc.NewServer(e.nodesHandler(), e.opts.NodesTLS),
 	}
 	listeners := []net.Listener{e.callers, e.nodes}
-	if e.admin != nil {
+	if e.operators != nil {
 		servers = append(servers, rpc.NewServer(e.operatorsHandler(), e.opts.OperatorsTLS))
-		listeners = append(listeners, e.admin)
+		listeners = append(listeners, e.operators)
 	}
 	e.log.Info("serving", "callers", e.CallersAddress(), "nodes", e.NodesAddress())
 	err := rpc.ServeUntil(ctx, servers, listeners)
@@ -214,17 +224,18 @@
 }
 
 const (
-	closeGrace = 2 * time.Second
-	// endGrace lets the frames that say goodbye leave before their links close.
-	endGrace = 50 * time.Millisecond
+	shutdownTimeout = 2 * time.Second
+	// exitFrameDelay is the time for the frames that notify agents of the exit to be
+	// sent before the links close.
+	exitFrameDelay = 50 * time.Millisecond
 )
 
 func (e *Entry) drain() {
 	e.log.Info("draining", "limit", e.opts.DrainTimeout)
 	e.leaving.Store(true)
-	e.decide(e.core.Leave)
+	e.step(e.core.Leave)
 	if !rpc.Drain(e.opts.DrainTimeout, e.drained) {
-		e.recordProcess(event.DrainEnded, "at the limit, with jobs left")
+		e.recordProcess(event.DrainEnded, "limit reached with jobs left")
 		e.log.Warn("drain limit reached")
 		return
 	}
@@ -239,13 +250,14 @@
 }
 
 func (e *Entry) stop(servers []*http.Server) {
-	// Callers get the answers that drain has produced before connections close.
-	ctx, cancel := context.WithTimeout(context.Background(), closeGrace)
+	// Callers receive the answers produced during the drain before their
+	// connections close.
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if !e.killed.Load() {
-		e.decide(e.core.End)
+		e.step(e.core.End)
 		_ = servers[0].Shutdown(ctx)
-		time.Sleep(endGrace)
+		time.Sleep(exitFrameDelay)
 	}
 	e.cancel()
 	e.mu.Lock()
@@ -257,7 +269,7 @@
 	e.log.Info("stopped")
 }
 
-// Kill ends the entry at once, as a crash would: for tests and load tools.
+// Kill stops the entry at once, as a crash would. It is for tests and load tools.
 func (e *Entry) Kill() {
 	e.killed.Store(true)
 	e.cancel()
@@ -267,9 +279,9 @@
 	e.mu.Unlock()
 }
 
-// decide runs one input of the core and carries out what it asks for. The input
-// must not block.
-func (e *Entry) decide(input func(now time.Time)) {
+// step applies one input to the core and carries out the actions that the core
+// returns. The input must not block.
+func (e *Entry) step(input func(now time.Time)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -298,18 +310,18 @@
 	e.timer.Set(now, e.core.Next())
 }
 
-func (e *Entry) tick() { e.decide(e.core.Tick) }
+func (e *Entry) tick() { e.step(e.core.Tick) }
 
-// wait registers for a job's answer; call it within decide. The channel has room
-// for the one answer, so that handing it over never blocks.
-func (e *Entry) wait(name string) chan *pb.Answer {
-	w := make(chan *pb.Answer, 1)
-	e.waiters[name] = append(e.waiters[name], w)
-	return w
+// addWaiter registers a waiter for a job's answer. It must be called within step.
+// The channel is buffered for the one answer, so that sending it never blocks.
+func (e *Entry) addWaiter(name string) chan *pb.Answer {
+	waiter := make(chan *pb.Answer, 1)
+	e.waiters[name] = append(e.waiters[name], waiter)
+	return waiter
 }
 
-// unwait gives up a registration.
-func (e *Entry) unwait(name string, w chan *pb.Answer) {
+// removeWaiter removes a waiter registered with addWaiter.
+func (e *Entry) removeWaiter(name string, w chan *pb.Answer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	list := e.waiters[name]
--- a/node/entry/forward.go
+++ b/node/entry/forward.go
@@ -16,17 +16,18 @@
 	"github.com/papayahoist/papayahoist/platform/retry"
 )
 
-// Times of a forwarded request. A connection that has gone silent costs its
-// caller at most forwardPoll and forwardSilence before a new one is tried.
+// Timeouts of a forwarded request. An unresponsive connection delays the caller by
+// at most the sum of both before a new connection is tried.
 const (
-	// forwardPoll bounds one long poll at the home.
-	forwardPoll = 2 * time.Second
-	// forwardSilence is how long after that the home's reply may take.
-	forwardSilence = 500 * time.Millisecond
+	// forwardPollTimeout is the maximum duration of one long poll at the job's home.
+	forwardPollTimeout = 2 * time.Second
+	// forwardReplyGrace is how long the home's reply may take beyond that.
+	forwardReplyGrace = 500 * time.Millisecond
 )
 
-// Retries of all forwarded requests together. What a fault of the network may
-// add is bounded by the rate, however many requests it hits.
+// Limits on the retries of all forwarded requests together. The rate bounds the
+// additional messages that a network fault causes, however many requests it
+// affects.
 const (
 	forwardRetriesPerSecond = 20
 	forwardRetryBurst       = 50
@@ -40,46 +41,47 @@
 	})
 }
 
-// forwarded is what came of asking a job's home.
-type forwarded uint8
+// forwardResult is the result of forwarding a request to a job's home.
+type forwardResult uint8
 
 const (
-	// homeReplied: the reply is the home's.
-	homeReplied forwarded = iota
-	// homeEnded: another process answers at the home's address.
+	// homeReplied means that the home has replied.
+	homeReplied forwardResult = iota
+	// homeEnded means that another process answers at the home's address.
 	homeEnded
-	// homeSilent: no reply; the home may live.
-	homeSilent
+	// homeUnresponsive means that there was no reply; the home may still be running.
+	homeUnresponsive
 )
 
 // forward serves a request at the job's home, in polls that are short enough to
-// notice a silent connection. Asking the home again starts nothing twice.
-func (e *Entry) forward(ctx context.Context, p *pb.Peer, rq request) (reply, forwarded) {
+// detect an unresponsive connection. Sending a request to the home again never
+// starts a task twice.
+func (e *Entry) forward(ctx context.Context, p *pb.Peer, rq request) (reply, forwardResult) {
 	end := time.Now().Add(rq.wait)
-	for made := 1; ; {
+	for attempts := 1; ; {
 		poll := rq
-		poll.wait = max(0, min(forwardPoll, time.Until(end)))
-		rp, err := e.forwardOnce(ctx, p, poll)
+		poll.wait = max(0, min(forwardPollTimeout, time.Until(end)))
+		rp, err := e.forwardAttempt(ctx, p, poll)
 		switch {
 		case err == nil && (rp.answer != nil || !rp.known || !time.Now().Before(end)):
 			return rp, homeReplied
 		case err == nil:
-			// The home has the job; from here on its id is enough.
+			// The home has the job: further polls need only its id.
 			rq.job, rq.fetch, rq.cancel = &pb.Job{Id: rq.job.Id}, true, false
-			made = 1
+			attempts = 1
 			continue
 		case connect.CodeOf(err) == connect.CodeFailedPrecondition:
 			return reply{}, homeEnded
 		}
-		pause, again := e.forwardRetries.Next(time.Now(), made, rand.Float64())
+		pause, again := e.forwardRetries.Next(time.Now(), attempts, rand.Float64())
 		if !again || !sleep(ctx, pause) {
-			return reply{}, homeSilent
+			return reply{}, homeUnresponsive
 		}
-		made++
+		attempts++
 	}
 }
 
-// sleep returns false if the context ends first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -91,8 +93,8 @@
 	}
 }
 
-func (e *Entry) forwardOnce(ctx context.Context, p *pb.Peer, rq request) (reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, rq.wait+forwardSilence)
+func (e *Entry) forwardAttempt(ctx context.Context, p *pb.Peer, rq request) (reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, rq.wait+forwardReplyGrace)
 	defer cancel()
 	now := time.Now()
 	e.opts.Core.Events.Record(now, event.Event{
--- a/node/entry/keys_test.go
+++ b/node/entry/keys_test.go
@@ -14,7 +14,7 @@
 	"github.com/papayahoist/papayahoist/node/entry"
 )
 
-// member is an entry with what the store and exchanges would tell it.
+// member is an entry whose store and exchanges are simulated by the test.
 type member struct {
 	*entry.Entry
 	incarnation string
@@ -26,9 +26,9 @@
 	return s
 }
 
-// meet announces entries, has each read the list, and exchange states until each
-// lets the others.
-func meet(members ...member) {
+// handshake announces the entries, gives each the list of all, and exchanges states
+// until every entry has completed the handshake with every other.
+func handshake(members ...member) {
 	var all []string
 	for _, m := range members {
 		m.Announced(time.Now().Add(time.Hour))
@@ -70,16 +70,16 @@
 	return resp.StatusCode, out
 }
 
-// A caller that has only keys of its own sends each to both entries, since it
-// believes the first answer lost. A key that ran twice would be two certificates
-// for one serial.
-func TestKeysOfTheCallersOwn(t *testing.T) {
+// A caller that makes its own keys sends each to two entries, as it would after
+// losing the first answer. Each key must run once: a second run would, for example,
+// issue two certificates for one serial number.
+func TestCallerMadeKeys(t *testing.T) {
 	s := newSite(t)
 	var members []member
 	var known atomic.Pointer[[]*pb.Peer]
 	known.Store(&[]*pb.Peer{})
 	peers := func() []*pb.Peer { return *known.Load() }
-	ep := newHeldEndpoint()
+	ep := newBlockingEndpoint()
 	close(ep.released)
 	for _, name := range []string{"e1", "e2"} {
 		e := s.entry(name, peers)
@@ -87,18 +87,18 @@
 		members = append(members, member{Entry: e, incarnation: strings.TrimSuffix(token(t, e), "-0")})
 	}
 	if status, out := submitKey(t, members[0].Entry, "early", time.Now()); status == http.StatusOK || out.Outcome != jobs.OutcomeUnknown {
-		t.Errorf("status %d, %+v before the entries have met, want outcome unknown", status, out)
+		t.Errorf("status %d, %+v before the entries' handshake, want outcome unknown", status, out)
 	}
 	var all []*pb.Peer
 	for _, m := range members {
 		all = append(all, &pb.Peer{Incarnation: m.incarnation, Address: m.NodesAddress()})
 	}
 	known.Store(&all)
-	meet(members...)
-	// A key counts when it was first sent after the meeting, by a skew of clocks.
-	// This caller's clock is ahead by nearly as much.
-	sent := time.Now().Add(doorSkew + 10*time.Millisecond)
-	for sent.After(time.Now().Add(doorSkew)) {
+	handshake(members...)
+	// A key is accepted if it was first sent more than the allowed clock skew after
+	// the handshake. This caller's clock is ahead by almost that skew.
+	sent := time.Now().Add(keySkew + 10*time.Millisecond)
+	for sent.After(time.Now().Add(keySkew)) {
 		token(t, members[0].Entry)
 	}
 	for _, key := range []string{"serial-1", "serial-2", "serial-3", "serial-4"} {
@@ -112,6 +112,6 @@
 		t.Errorf("%d starts of 4 keys", n)
 	}
 	if status, out := submitKey(t, members[0].Entry, "no-time", time.UnixMilli(0)); status == http.StatusOK || out.Outcome != jobs.OutcomeUnknown {
-		t.Errorf("status %d, %+v without the time of the first sending, want outcome unknown", status, out)
+		t.Errorf("status %d, %+v without the time when it was first sent, want outcome unknown", status, out)
 	}
 }
--- a/node/entry/links.go
+++ b/node/entry/links.go
@@ -14,43 +14,44 @@
 	"github.com/papayahoist/papayahoist/node/rpc"
 )
 
-// linkOpenTimeout bounds the wait for an agent's first frame.
+// linkOpenTimeout limits the wait for an agent's first frame.
 const linkOpenTimeout = 2 * time.Second
 
-// agentLink is one connection to an agent.
+// agentLink is the link to an agent, over a connection of its own.
 type agentLink struct {
-	epoch uint64
-	out   *rpc.Queue[*pb.EntryFrame]
-	end   context.CancelFunc
+	epoch  uint64
+	out    *rpc.Queue[*pb.EntryFrame]
+	cancel context.CancelFunc
 }
 
-// openLink starts a link in place of the one in use; called within decide.
+// openLink starts a new link to an agent and closes the previous one. It must be
+// called within step.
 func (e *Entry) openLink(d entry.Dial) {
 	if old := e.links[d.Agent]; old != nil {
 		old.out.Close()
-		old.end()
+		old.cancel()
 	}
 	ctx, cancel := context.WithCancel(e.ctx)
-	l := &agentLink{epoch: d.Hello.Epoch, out: rpc.NewQueue[*pb.EntryFrame](), end: cancel}
+	l := &agentLink{epoch: d.Hello.Epoch, out: rpc.NewQueue[*pb.EntryFrame](), cancel: cancel}
 	e.links[d.Agent] = l
 	go e.runLink(ctx, d, l)
 }
 
 func (e *Entry) runLink(ctx context.Context, d entry.Dial, l *agentLink) {
-	defer l.end()
+	defer l.cancel()
 	client := rpc.NewClient(e.opts.NodesTLS)
 	defer client.CloseIdleConnections()
 	stream := papayahoistv1connect.NewAgentServiceClient(client, rpc.URL(d.Address, e.opts.NodesTLS)).Link(ctx)
 	first, ok := openStream(stream, &pb.EntryFrame{Hello: d.Hello, Clock: e.opts.Core.Events.Stamp(time.Now())}, l)
 	if !ok {
-		e.decide(func(now time.Time) {
+		e.step(func(now time.Time) {
 			e.core.LinkDown(now, d.Agent, l.epoch, first.GetHello().GetRefused() != "" &&
 				first.GetHello().GetIncarnation() != d.Hello.AgentIncarnation)
 		})
 		return
 	}
 	go writeLink(ctx, stream, l)
-	e.decide(func(now time.Time) {
+	e.step(func(now time.Time) {
 		e.core.LinkUp(now, d.Agent, l.epoch)
 		e.core.Step(now, d.Agent, l.epoch, first)
 	})
@@ -60,18 +61,19 @@
 			break
 		}
 		e.opts.Metrics.Message(metrics.AgentFrameKind(f), metrics.Received, proto.Size(f))
-		e.decide(func(now time.Time) { e.core.Step(now, d.Agent, l.epoch, f) })
+		e.step(func(now time.Time) { e.core.Step(now, d.Agent, l.epoch, f) })
 	}
-	e.decide(func(now time.Time) { e.core.LinkDown(now, d.Agent, l.epoch, false) })
+	e.step(func(now time.Time) { e.core.LinkDown(now, d.Agent, l.epoch, false) })
 }
 
 type linkStream = connect.BidiStreamForClient[pb.EntryFrame, pb.AgentFrame]
 
-// openStream exchanges the first frames. False: the link could not be opened, or
-// the agent has refused it, which the frame then tells.
+// openStream sends the opening frame and receives the agent's first frame. It
+// returns false if the link could not be opened or the agent refused it; a refusal
+// is in the returned frame.
 func openStream(stream *linkStream, opening *pb.EntryFrame, l *agentLink) (*pb.AgentFrame, bool) {
-	late := time.AfterFunc(linkOpenTimeout, l.end)
-	defer late.Stop()
+	timeout := time.AfterFunc(linkOpenTimeout, l.cancel)
+	defer timeout.Stop()
 	if err := stream.Send(opening); err != nil {
 		return nil, false
 	}
@@ -84,6 +86,6 @@
 
 func writeLink(ctx context.Context, stream *linkStream, l *agentLink) {
 	if l.out.Drain(ctx, stream.Send) != nil {
-		l.end()
+		l.cancel()
 	}
 }
--- a/node/entry/nodes.go
+++ b/node/entry/nodes.go
@@ -30,13 +30,13 @@
 	e *Entry
 }
 
-// Announce takes in an agent that wants links.
+// Announce handles an agent's request for links to it.
 func (s *nodesService) Announce(_ context.Context, req *connect.Request[pb.AnnounceRequest]) (*connect.Response[pb.AnnounceResponse], error) {
 	m := req.Msg
 	if m.Agent.GetAgent() == "" || m.Agent.GetIncarnation() == "" || m.Agent.GetAddress() == "" {
-		return nil, connect.NewError(connect.CodeInvalidArgument, ErrStart.New("an agent announces its name, incarnation and address"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, ErrStart.New("the announcement lacks the agent's name, incarnation or address"))
 	}
-	s.e.decide(func(now time.Time) {
+	s.e.step(func(now time.Time) {
 		s.e.opts.Core.Events.Observe(m.Clock, now)
 		s.e.core.AgentSeen(now, m.Agent, m.Relink, m.Leaving)
 	})
@@ -48,11 +48,12 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Forward serves a job of this home that reached another entry.
+// Forward serves a request that another entry received for a job whose home is this
+// entry.
 func (s *nodesService) Forward(ctx context.Context, req *connect.Request[pb.ForwardRequest]) (*connect.Response[pb.ForwardResponse], error) {
 	m := req.Msg
 	if m.Home != s.e.opts.Hello.Incarnation {
-		return nil, connect.NewError(connect.CodeFailedPrecondition, ErrStart.New("another incarnation of the entry"))
+		return nil, connect.NewError(connect.CodeFailedPrecondition, ErrStart.New("the request is for another incarnation of the entry"))
 	}
 	s.e.opts.Core.Events.Observe(m.Clock, time.Now())
 	r := s.e.serveLocal(ctx, request{
@@ -65,47 +66,49 @@
 	return connect.NewResponse(resp), nil
 }
 
-// request is what a caller wants of one job, at whichever entry it arrived.
+// request is a caller's request about one job, whichever entry received it.
 type request struct {
 	job           *pb.Job
 	contract      string
 	fetch, cancel bool
-	// fresh tells that the id was made for this request: nothing ran under it.
+	// fresh means that the id was generated for this request, so that no job has run
+	// under it.
 	fresh bool
 	wait  time.Duration
 }
 
-// reply carries the answer if there is one yet.
+// reply holds whether the job is known, and its answer once there is one.
 type reply struct {
 	answer *pb.Answer
 	known  bool
 }
 
-// serveLocal serves a request for a job whose home is this entry.
+// serveLocal serves a request for a job whose home is this entry. It waits for the
+// answer for at most rq.wait.
 func (e *Entry) serveLocal(ctx context.Context, rq request) reply {
 	var rp reply
 	var w chan *pb.Answer
 	name := job.Name(rq.contract, rq.job.Id)
-	e.decide(func(now time.Time) {
+	e.step(func(now time.Time) {
 		switch {
 		case rq.cancel:
 			rp.answer, rp.known = e.core.Cancel(now, rq.job.Id, rq.contract)
 		case rq.fetch:
 			rp.answer, rp.known = e.core.Fetch(rq.job.Id, rq.contract)
 		default:
-			_, before := e.core.Fetch(rq.job.Id, rq.job.Contract)
-			var admitted entry.Admission
-			admitted, rp.answer = e.core.Submit(now, rq.job)
+			_, existed := e.core.Fetch(rq.job.Id, rq.job.Contract)
+			var admission entry.Admission
+			admission, rp.answer = e.core.Submit(now, rq.job)
 			rp.known = true
-			if !before {
+			if !existed {
 				e.countSubmission(rq.job.Contract, rp.answer)
 			}
-			if admitted != entry.Answered {
+			if admission != entry.Answered {
 				rp.answer = nil
 			}
 		}
 		if rp.known && rp.answer == nil {
-			w = e.wait(name)
+			w = e.addWaiter(name)
 		}
 	})
 	if w != nil {
@@ -123,7 +126,7 @@
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	e.unwait(name, w)
+	e.removeWaiter(name, w)
 	select {
 	case a := <-w:
 		return a
--- a/node/entry/operators.go
+++ b/node/entry/operators.go
@@ -14,10 +14,10 @@
 	"github.com/papayahoist/papayahoist/node/operator"
 )
 
-// roleEntry names the role in status and time line.
+// roleEntry is the name of the role in the status and the timeline.
 const roleEntry = "entry"
 
-// operatorsHandler serves the operators' port from the entry's own state.
+// operatorsHandler serves the operators' port.
 func (e *Entry) operatorsHandler() http.Handler {
 	return operator.NewHandler(operator.Options{
 		Status:      e,
@@ -31,7 +31,8 @@
 	})
 }
 
-// ready tells the balancer to send no new callers to an entry that leaves.
+// ready returns an error while the entry shuts down or can't serve yet, so that the
+// load balancer sends it no new callers.
 func (e *Entry) ready() error {
 	if e.leaving.Load() {
 		return ErrLeaving.New("the entry is shutting down")
@@ -45,7 +46,7 @@
 // Status implements operator.StatusSource.
 func (e *Entry) Status() *pb.StatusResponse {
 	e.mu.Lock()
-	agents, uses := e.core.AgentStatuses(), e.core.Uses()
+	agents, usage := e.core.AgentStatuses(), e.core.Uses()
 	e.mu.Unlock()
 	s := &pb.StatusResponse{
 		Process:       e.opts.Hello.Entry,
@@ -54,7 +55,7 @@
 		FailureDomain: e.opts.Hello.FailureDomain,
 		Peers:         e.peers(),
 		Agents:        agents,
-		Contracts:     e.contractStatuses(uses),
+		Contracts:     e.contractStatuses(usage),
 		Leaving:       e.leaving.Load(),
 		StartedUnixMs: e.opts.Core.Started.UnixMilli(),
 		Version:       e.opts.Version,
@@ -73,11 +74,11 @@
 	return e.opts.Peers()
 }
 
-// contractStatuses lists the contracts in force, by name.
-func (e *Entry) contractStatuses(uses map[string]entry.Use) []*pb.ContractStatus {
+// contractStatuses returns the status of the contracts in force, sorted by name.
+func (e *Entry) contractStatuses(usage map[string]entry.Use) []*pb.ContractStatus {
 	var list []*pb.ContractStatus
 	for _, c := range e.contracts() {
-		series, use := e.opts.Metrics.Contract(c.Name), uses[c.Name]
+		series, use := e.opts.Metrics.Contract(c.Name), usage[c.Name]
 		list = append(list, &pb.ContractStatus{
 			Contract:    c,
 			Waiting:     use.Waiting,
@@ -93,7 +94,8 @@
 	return list
 }
 
-// contracts lists those in force; without a list, those that callers have used.
+// contracts returns the contracts in force or, without Options.Contracts, those
+// that callers have used.
 func (e *Entry) contracts() []*pb.Contract {
 	if e.opts.Contracts != nil {
 		list := e.opts.Contracts()
@@ -111,7 +113,7 @@
 	return list
 }
 
-// metricsState is read at each scrape.
+// metricsState returns the values of the gauges; it is called at each scrape.
 func (e *Entry) metricsState() metrics.EntryState {
 	e.mu.Lock()
 	c := e.core.Counts()
@@ -129,7 +131,8 @@
 	return s
 }
 
-// configRevision counts deletions too, where it is given.
+// configRevision returns the revision of the configuration. Without
+// Options.ConfigRevision it does not include deletions of contracts.
 func (e *Entry) configRevision() uint64 {
 	if e.opts.ConfigRevision != nil {
 		return e.opts.ConfigRevision()
@@ -141,8 +144,8 @@
 	return revision
 }
 
-// series returns the counters of a contract. Only names of the configuration
-// get counters of their own.
+// series returns the counters of a contract. Only contracts in the configuration
+// have counters of their own.
 func (e *Entry) series(contract string) *metrics.Contract {
 	if e.opts.Contract != nil && e.opts.Contract(contract) != nil {
 		e.opts.Metrics.AddContract(contract)
@@ -150,7 +153,7 @@
 	return e.opts.Metrics.Contract(contract)
 }
 
-// countSubmission counts a new job, and its refusal if there is one.
+// countSubmission counts a new job, and its refusal if refused is not nil.
 func (e *Entry) countSubmission(contract string, refused *pb.Answer) {
 	c := e.series(contract)
 	c.Offered.Add(1)
@@ -177,7 +180,7 @@
 	}
 }
 
-// countFrame counts a frame on its way to an agent.
+// countFrame counts a frame sent to an agent and the tasks that it starts.
 func (e *Entry) countFrame(f *pb.EntryFrame, bytes int) {
 	e.opts.Metrics.Message(metrics.EntryFrameKind(f), metrics.Sent, bytes)
 	for _, b := range f.Starts {
@@ -185,7 +188,7 @@
 	}
 }
 
-// recordProcess keeps an event about this process.
+// recordProcess records an event about this process.
 func (e *Entry) recordProcess(kind event.Kind, detail string) {
 	e.opts.Core.Events.Record(time.Now(), event.Event{Kind: kind, Detail: detail})
 }
--- a/node/entry/path_test.go
+++ b/node/entry/path_test.go
@@ -17,7 +17,7 @@
 	"github.com/papayahoist/papayahoist/node/entry"
 )
 
-// countingEndpoint echoes payloads and counts starts.
+// countingEndpoint echoes payloads and counts the starts of each task.
 type countingEndpoint struct {
 	mu     sync.Mutex
 	starts map[agent.TaskRef]int
@@ -32,9 +32,9 @@
 
 func (c *countingEndpoint) Stop(context.Context, agent.TaskRef) error { return nil }
 
-// A caller sends a job of more tasks than there are slots; every task runs once
-// and the answer holds each result at its place.
-func TestWholePath(t *testing.T) {
+// A job has more tasks than there are slots. Every task must run once, and the
+// answer must hold the results in the order of the tasks.
+func TestEndToEnd(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -13,14 +13,14 @@
 	"github.com/papayahoist/papayahoist/node/metrics"
 )
 
-// Exchange answers another entry's exchange of state.
+// Exchange handles another entry's state and returns this entry's.
 func (s *nodesService) Exchange(_ context.Context, req *connect.Request[pb.PeerState]) (*connect.Response[pb.PeerState], error) {
 	e := s.e
 	if e.opts.Exchange == nil {
-		return nil, connect.NewError(connect.CodeUnimplemented, ErrStart.New("this entry exchanges no state"))
+		return nil, connect.NewError(connect.CodeUnimplemented, ErrStart.New("this entry does not exchange state"))
 	}
 	if req.Msg.GetSelf().GetIncarnation() == "" {
-		return nil, connect.NewError(connect.CodeInvalidArgument, ErrStart.New("an exchange names its sender"))
+		return nil, connect.NewError(connect.CodeInvalidArgument, ErrStart.New("the state lacks its sender's incarnation"))
 	}
 	answer := e.opts.Exchange(req.Msg)
 	e.opts.Metrics.Message(metrics.MessageExchange, metrics.Received, proto.Size(req.Msg))
@@ -28,8 +28,9 @@
 	return connect.NewResponse(answer), nil
 }
 
-// ExtendState adds what this entry tells another of its use of contracts. To is
-// the other's incarnation, empty when it is not known.
+// ExtendState adds this entry's clock, its contract shares and its key ownership
+// state to a state that is sent to another entry. The parameter to is the
+// recipient's incarnation, empty if it is not known.
 func (e *Entry) ExtendState(to string, state *pb.PeerState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -43,43 +44,44 @@
 	}
 }
 
-// extendShares leaves the shares out while the other has them as they are: they
-// grow with the contracts and would be most of the bytes between entries at rest.
+// extendShares adds the shares unless the recipient has acknowledged the current
+// ones: their size grows with the number of contracts, and they would be most of
+// the traffic between idle entries.
 func (e *Entry) extendShares(to string, state *pb.PeerState) {
 	shares := e.core.ShareState()
 	if !proto.Equal(shares, e.shares) {
-		e.shares, e.sharesAt = shares, state.Clock
+		e.shares, e.sharesClock = shares, state.Clock
 	}
-	state.SharesSeen = e.heard[to]
-	if to == "" || e.sharesKnown[to] < e.sharesAt {
+	state.SharesSeen = e.sharesReceived[to]
+	if to == "" || e.sharesAcked[to] < e.sharesClock {
 		state.Shares = shares
 	}
 }
 
-// StateReceived takes in what another entry told. Exchanges overlap, so that an
-// older state can come after a newer one of the same entry; taking it in would
-// give away parts of a contract twice, and more tasks than allowed would run.
-// The sender's clock shows it.
+// StateReceived applies the state of another entry. Exchanges overlap, so an older
+// state can arrive after a newer one of the same entry. Applying its shares would
+// hand out shares of a contract twice, and more tasks than allowed would run.
+// Such states are recognized by the sender's clock.
 func (e *Entry) StateReceived(state *pb.PeerState) {
 	sender := state.GetSelf().GetIncarnation()
-	e.decide(func(now time.Time) {
+	e.step(func(now time.Time) {
 		e.opts.Core.Events.Observe(state.Clock, now)
-		e.doorHeard(now, state)
-		last, known := e.heard[sender]
+		e.receiveKeyState(now, state)
+		last, known := e.sharesReceived[sender]
 		if known {
-			// Not the highest ever: the other may have been without this entry for a
-			// while, and has forgotten what it knew of it.
-			e.sharesKnown[sender] = state.SharesSeen
+			// This may be lower than before: an entry that was without contact to this
+			// one for a while has discarded its shares.
+			e.sharesAcked[sender] = state.SharesSeen
 		}
 		if !known || state.Shares == nil || state.Clock <= last {
 			return
 		}
-		e.heard[sender] = state.Clock
+		e.sharesReceived[sender] = state.Clock
 		e.core.SharesSeen(now, state.Shares)
 	})
 }
 
-func (e *Entry) doorHeard(now time.Time, state *pb.PeerState) {
+func (e *Entry) receiveKeyState(now time.Time, state *pb.PeerState) {
 	if state.DoorUnixNs == 0 {
 		return
 	}
@@ -90,52 +92,54 @@
 	e.core.Door().Heard(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
 }
 
-// Announced tells that the entry's announcement at the store holds until then,
-// counted from before the call. True asks for Listed.
+// Announced records that the entry's announcement in the store is valid until the
+// given time, which is counted from before the call to the store. It returns true
+// if the caller must read the list of entries and pass it to Listed.
 func (e *Entry) Announced(until time.Time) (list bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.core.Door().Announced(time.Now(), until)
 }
 
-// Listed tells all entries that the store names, read in a call that began at
-// readAt.
+// Listed applies the complete list of entries in the store, read in a call that
+// began at readAt.
 func (e *Entry) Listed(readAt time.Time, incarnations []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.core.Door().Listed(time.Now(), readAt, incarnations)
 }
 
-// SetPeers tells which entries live, this one among them. Agents hear of a change.
+// SetPeers sets the live entries, including this one, and notifies the agents of a
+// change.
 func (e *Entry) SetPeers(peers []*pb.Peer) {
-	var told []string
+	var advertised []string
 	for _, p := range peers {
-		told = append(told, p.Address+" "+p.Incarnation)
+		advertised = append(advertised, p.Address+" "+p.Incarnation)
 	}
-	e.decide(func(time.Time) {
-		if !slices.Equal(told, e.told) {
-			e.told = told
+	e.step(func(time.Time) {
+		if !slices.Equal(advertised, e.advertised) {
+			e.advertised = advertised
 			e.core.TellPeers(peers)
 		}
 	})
 }
 
-// SetStarters tells which other entries may start tasks, whether this one must
-// not, and the names of all contracts in force.
+// SetStarters sets which other entries may start tasks, whether this entry is
+// fenced and must not start any, and the names of all contracts in force.
 func (e *Entry) SetStarters(others []string, fenced bool, contracts []string) {
-	e.decide(func(now time.Time) {
-		heard, known := make(map[string]uint64, len(others)), make(map[string]uint64, len(others))
+	e.step(func(now time.Time) {
+		received, acked := make(map[string]uint64, len(others)), make(map[string]uint64, len(others))
 		for _, incarnation := range others {
-			heard[incarnation], known[incarnation] = e.heard[incarnation], e.sharesKnown[incarnation]
+			received[incarnation], acked[incarnation] = e.sharesReceived[incarnation], e.sharesAcked[incarnation]
 		}
-		e.heard, e.sharesKnown = heard, known
+		e.sharesReceived, e.sharesAcked = received, acked
 		e.core.PeersSeen(now, others, contracts)
 		e.core.Fence(now, fenced)
 	})
 }
 
-// HoldsParts reports whether the entry may start tasks of any contract; also true
-// while no contract allows any.
+// HoldsParts reports whether the entry holds a share of any contract and so may
+// start tasks. It is also true while no contract allows any tasks.
 func (e *Entry) HoldsParts() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/entry/route.go
+++ b/node/entry/route.go
@@ -11,9 +11,10 @@
 	"github.com/papayahoist/papayahoist/dispatch/job"
 )
 
-// route serves a request here when this entry is the job's home, and at the home
-// otherwise. A home that does not reply leaves only recovery, which starts nothing
-// and which agents that hear from the home refuse.
+// route serves a request locally if this entry is the job's home, and forwards it
+// to the home otherwise. If the home does not reply, a submission is recovered:
+// recovery starts no tasks, and agents that still receive frames from the home
+// refuse it.
 func (e *Entry) route(ctx context.Context, id string, rq request) reply {
 	parsed, err := job.Parse(id)
 	if err != nil {
@@ -27,14 +28,14 @@
 	}
 	ended := false
 	if p := e.findPeer(parsed.Home.Incarnation); p != nil {
-		rp, what := e.forward(ctx, p, rq)
-		if what == homeReplied {
+		rp, result := e.forward(ctx, p, rq)
+		if result == homeReplied {
 			return rp
 		}
-		ended = what == homeEnded
+		ended = result == homeEnded
 	}
 	if rq.fetch || rq.cancel || len(rq.job.Tasks) == 0 {
-		return reply{answer: entry.AskAgain(id, "the job's home does not reply; submitting the job again gathers its results"), known: true}
+		return reply{answer: entry.AskAgain(id, "the job's home does not reply; submit the job again to recover its results"), known: true}
 	}
 	return e.recover(ctx, rq, ended)
 }
@@ -51,18 +52,18 @@
 	return nil
 }
 
-// routeKey serves a request for an id that is a key of the caller's own.
+// routeKey serves a request whose id is a caller-made key, which names no home.
 func (e *Entry) routeKey(ctx context.Context, rq request) reply {
 	var verdict door.Verdict
 	var home string
 	rq.job.Contract = rq.contract
-	e.decide(func(now time.Time) { verdict, home = e.core.KeyHome(now, rq.job) })
+	e.step(func(now time.Time) { verdict, home = e.core.KeyHome(now, rq.job) })
 	switch verdict {
 	case door.Mine:
 		return e.serveLocal(ctx, rq)
 	case door.Other:
 		if p := e.findPeer(home); p != nil {
-			if rp, what := e.forward(ctx, p, rq); what == homeReplied {
+			if rp, result := e.forward(ctx, p, rq); result == homeReplied {
 				return rp
 			}
 		}
@@ -74,9 +75,9 @@
 	var w chan *pb.Answer
 	name := job.Name(rq.contract, rq.job.Id)
 	rp := reply{known: true}
-	e.decide(func(now time.Time) {
+	e.step(func(now time.Time) {
 		if rp.answer = e.core.Recover(now, rq.job, homeEnded); rp.answer == nil {
-			w = e.wait(name)
+			w = e.addWaiter(name)
 		}
 	})
 	if w != nil {
--- a/node/entry/silence_test.go
+++ b/node/entry/unresponsive_test.go
@@ -25,19 +25,19 @@
 	"github.com/papayahoist/papayahoist/node/rpc"
 )
 
-// relay forwards connections to a target. After silence, those open by then
-// swallow what they are given, while new ones work.
+// relay forwards connections to a target. After stall, the connections that were
+// open stay open and discard all data, while new ones work.
 type relay struct {
 	listener net.Listener
 	target   atomic.Value // string
 
 	mu    sync.Mutex
-	conns []*relayed
+	conns []*relayConn
 }
 
-type relayed struct {
-	near, far net.Conn
-	silent    atomic.Bool
+type relayConn struct {
+	client, server net.Conn
+	stalled        atomic.Bool
 }
 
 func newRelay(t *testing.T) *relay {
@@ -55,35 +55,35 @@
 
 func (r *relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		target, set := r.target.Load().(string)
 		if !set {
-			// The process behind is not up yet, and others try its address already.
-			_ = near.Close()
+			// The target process has not started yet, but others already try its address.
+			_ = client.Close()
 			continue
 		}
-		far, err := net.Dial("tcp", target)
+		server, err := net.Dial("tcp", target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		c := &relayed{near: near, far: far}
+		c := &relayConn{client: client, server: server}
 		r.mu.Lock()
 		r.conns = append(r.conns, c)
 		r.mu.Unlock()
-		go c.carry(near, far)
-		go c.carry(far, near)
+		go c.forward(client, server)
+		go c.forward(server, client)
 	}
 }
 
-func (c *relayed) carry(to, from net.Conn) {
+func (c *relayConn) forward(to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if c.silent.Load() {
+		if c.stalled.Load() {
 			if err != nil {
 				return
 			}
@@ -99,11 +99,12 @@
 	}
 }
 
-func (r *relay) silence() (connections int) {
+// stall makes the open connections discard all data and returns their number.
+func (r *relay) stall() (connections int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.conns {
-		c.silent.Store(true)
+		c.stalled.Store(true)
 	}
 	return len(r.conns)
 }
@@ -113,43 +114,43 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.conns {
-		_, _ = c.near.Close(), c.far.Close()
+		_, _ = c.client.Close(), c.server.Close()
 	}
 }
 
-const doorSkew = time.Second
+const keySkew = time.Second
 
-var quickLink = link.Options{
+var shortLinkTimeouts = link.Options{
 	AckDelay: 20 * time.Millisecond, AckTimeout: 100 * time.Millisecond,
 	Heartbeat: 50 * time.Millisecond, HeartbeatTimeout: 200 * time.Millisecond,
 }
 
-// heldEndpoint starts tasks and ends them when released.
-type heldEndpoint struct {
+// blockingEndpoint starts tasks and ends them once released is closed.
+type blockingEndpoint struct {
 	starts   atomic.Int32
 	started  chan struct{}
 	released chan struct{}
 }
 
-func newHeldEndpoint() *heldEndpoint {
-	return &heldEndpoint{started: make(chan struct{}, 100), released: make(chan struct{})}
+func newBlockingEndpoint() *blockingEndpoint {
+	return &blockingEndpoint{started: make(chan struct{}, 100), released: make(chan struct{})}
 }
 
-func (h *heldEndpoint) Run(_ context.Context, r agent.Run) *pb.TaskResult {
+func (h *blockingEndpoint) Run(_ context.Context, r agent.Run) *pb.TaskResult {
 	h.starts.Add(1)
 	h.started <- struct{}{}
 	<-h.released
 	return &pb.TaskResult{Outcome: pb.Outcome_OUTCOME_COMPLETE, Body: r.Payload}
 }
 
-func (h *heldEndpoint) Stop(context.Context, agent.TaskRef) error { return nil }
+func (h *blockingEndpoint) Stop(context.Context, agent.TaskRef) error { return nil }
 
 // site runs processes until the test ends.
 type site struct {
 	t   *testing.T
 	ctx context.Context
 	wg  sync.WaitGroup
-	// agents counts them, for their names.
+	// agents is the number of agents started, used for their names.
 	agents int
 }
 
@@ -169,7 +170,7 @@
 		Hello:         &pb.EntryHello{Entry: name, Incarnation: entry.NewIncarnation()},
 		CallersListen: "127.0.0.1:0", NodesListen: "127.0.0.1:0",
 		Contract: func(string) *pb.Contract { return contract }, Peers: peers,
-		Core:   coreentry.Options{Link: quickLink, Door: door.Options{Skew: doorSkew}},
+		Core:   coreentry.Options{Link: shortLinkTimeouts, Door: door.Options{Skew: keySkew}},
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -184,7 +185,7 @@
 	a, err := nodeagent.New(nodeagent.Options{
 		Hello:    &pb.AgentHello{Agent: fmt.Sprint("a", s.agents), Incarnation: entry.NewIncarnation(), Slots: 4, Address: at},
 		Join:     []string{e.NodesAddress()},
-		Endpoint: ep, NodesListen: "127.0.0.1:0", Core: agent.Options{Link: quickLink},
+		Endpoint: ep, NodesListen: "127.0.0.1:0", Core: agent.Options{Link: shortLinkTimeouts},
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -227,40 +228,42 @@
 
 func noPeers() []*pb.Peer { return nil }
 
-// Something between an entry and an agent loses track of their connection while a
-// task runs: it stays open and carries nothing. The result must come over a new
-// one; a caller would otherwise wait until the deadline for work that is done.
-func TestSilentLink(t *testing.T) {
+// A middlebox between an entry and an agent drops their connection's state while a
+// task runs: the connection stays open and carries nothing. The result must arrive
+// over a new connection; otherwise the caller would wait until the deadline for
+// work that is done.
+func TestUnresponsiveLink(t *testing.T) {
 	r := newRelay(t) // closed after the site has stopped
 	s := newSite(t)
 	e := s.entry("e1", noPeers)
-	ep := newHeldEndpoint()
+	ep := newBlockingEndpoint()
 	a := s.agent(e, r.address(), ep)
 	r.target.Store(a.ListenAddress())
 	go func() {
 		<-ep.started
-		if r.silence() == 0 {
-			t.Error("no connection to silence")
+		if r.stall() == 0 {
+			t.Error("no connection to make unresponsive")
 		}
 		close(ep.released)
 	}()
 	status, out := submit(t, e, "")
 	if status != http.StatusOK || len(out.Results) != 1 || string(out.Results[0].Body) != "x" {
-		t.Errorf("status %d with %+v, want the whole answer", status, out)
+		t.Errorf("status %d with %+v, want the complete answer", status, out)
 	}
 	if n := ep.starts.Load(); n != 1 {
 		t.Errorf("%d starts, want 1", n)
 	}
 }
 
-// The connection between two entries has gone silent before a caller reaches the
-// one that is not its job's home. The job must run, once, after a new connection.
-func TestSilentForward(t *testing.T) {
+// The connection between two entries stays open but carries nothing when a caller
+// reaches the entry that is not its job's home. The request must be forwarded over
+// a new connection, and the job must run once.
+func TestUnresponsiveForward(t *testing.T) {
 	r := newRelay(t) // closed after the site has stopped
 	s := newSite(t)
 	home := s.entry("e1", noPeers)
 	r.target.Store(home.ListenAddress())
-	ep := newHeldEndpoint()
+	ep := newBlockingEndpoint()
 	close(ep.released)
 	s.agent(home, "", ep)
 	id := token(t, home)
@@ -271,26 +274,26 @@
 	if status, _ := submit(t, other, id+".first"); status != http.StatusOK {
 		t.Fatalf("status %d before the fault", status)
 	}
-	if r.silence() == 0 {
-		t.Fatal("no connection to silence")
+	if r.stall() == 0 {
+		t.Fatal("no connection to make unresponsive")
 	}
 	status, out := submit(t, other, id+".second")
 	if status != http.StatusOK || len(out.Results) != 1 {
-		t.Errorf("status %d with %+v, want the whole answer", status, out)
+		t.Errorf("status %d with %+v, want the complete answer", status, out)
 	}
 	if n := ep.starts.Load(); n != 2 {
 		t.Errorf("%d starts of two tasks", n)
 	}
 }
 
-// A home accepts connections and never replies, and hundreds of callers ask for
-// its jobs at another entry. Were each request tried again, the fault would double
-// the messages; each caller is told soon that the outcome is unknown.
-func TestSilentHomeDoesNotMultiplyMessages(t *testing.T) {
+// A home accepts connections and never replies while hundreds of callers fetch its
+// jobs at another entry. If each request were retried, the fault would double the
+// messages. Each caller must soon be answered that the outcome is unknown.
+func TestUnresponsiveHomeDoesNotMultiplyMessages(t *testing.T) {
 	const callers = 400
-	var asked atomic.Int32
+	var requests atomic.Int32
 	server := rpc.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}), nil)
@@ -321,14 +324,14 @@
 				t.Error(err)
 			}
 			if out.Code != jobs.CodeHomeLost || out.Outcome != jobs.OutcomeUnknown || out.RetryAfterMillis == 0 {
-				t.Errorf("got %+v, want outcome unknown and when to ask again", out)
+				t.Errorf("got %+v, want outcome unknown and a time to retry after", out)
 			}
 		})
 	}
 	wg.Wait()
 	const perSecond, burst = 20, 50
 	limit := callers + burst + perSecond*int(time.Since(began)/time.Second+1)
-	if n := int(asked.Load()); n > limit {
+	if n := int(requests.Load()); n > limit {
 		t.Errorf("%d messages for %d requests, want at most %d", n, callers, limit)
 	}
 }
