--- a/node/agent/agent.go
+++ b/node/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent drives the decisions of dispatch/agent beside one endpoint: it
-// makes the agent known to entries, serves their links, and runs tasks.
+// Package agent does the I/O for the state machine in dispatch/agent, beside one
+// endpoint: it announces the agent to entries, serves their links, and runs tasks.
 package agent
 
 import (
@@ -28,17 +28,18 @@
 // Errors of this package.
 var (
 	Errors = errorx.NewNamespace("node.agent")
-	// ErrStart is given when an agent can't begin to serve.
+	// ErrStart is returned when an agent can't start serving.
 	ErrStart = Errors.NewType("start")
-	// ErrLink is given to an entry whose link is refused.
+	// ErrLink is returned to an entry whose link has no valid opening frame.
 	ErrLink = Errors.NewType("link")
-	// ErrLeaving makes an agent not ready that shuts down.
+	// ErrLeaving is the readiness error of an agent that is shutting down.
 	ErrLeaving = Errors.NewType("leaving")
 )
 
-// Endpoint runs tasks. Run blocks until the task has ended, and reports the
-// outcome: not run only when the endpoint has proven that it never began.
+// Endpoint runs tasks. It must be safe for concurrent use.
 type Endpoint interface {
+	// Run runs a task, blocks until it has ended and returns its result. The outcome
+	// is "not run" only if the endpoint has proven that the task never started.
 	Run(ctx context.Context, r agent.Run) *pb.TaskResult
 	// Stop asks the endpoint to end a task early.
 	Stop(ctx context.Context, ref agent.TaskRef) error
@@ -46,55 +47,58 @@
 
 // Options configure an Agent.
 type Options struct {
-	// Hello names the agent; Address is filled in from the listener when empty.
+	// Hello identifies the agent. An empty Address or OperatorAddress is set from
+	// its listener.
 	Hello *pb.AgentHello
-	// Listen addresses, IP and port.
+	// Listen addresses, each an IP and a port.
 	NodesListen, OperatorsListen string
-	// Join lists node addresses of entries, or of the balancer before them.
+	// Join lists node addresses of entries, or of a load balancer in front of them.
 	Join     []string
 	Endpoint Endpoint
-	// OperatorsTLS is for the operators' port; nil: none.
+	// OperatorsTLS secures the operators' port; nil means no TLS.
 	OperatorsTLS *tls.Config
-	// Gatherer is what Metrics are registered with, for the operators' port.
+	// Gatherer is the registry of Metrics, served on the operators' port.
 	Gatherer prometheus.Gatherer
 	// Version is shown to operators.
 	Version string
-	// NodesTLS is for both directions between our processes; nil: none.
+	// NodesTLS secures connections from and to entries; nil means no TLS.
 	NodesTLS *tls.Config
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout limits the drain of a planned stop. Zero means
+	// DefaultDrainTimeout.
 	DrainTimeout time.Duration
-	// Core sets the bounds of the decisions; its Hello is filled in here.
+	// Core configures the state machine. New sets its Hello.
 	Core agent.Options
-	// Metrics are the agent's collectors; nil: counted nowhere.
+	// Metrics are the agent's collectors. If it is nil, the metrics are discarded.
 	Metrics *metrics.Agent
 	Logger  *slog.Logger
 }
 
-// DefaultDrainTimeout bounds a planned stop.
+// DefaultDrainTimeout is the default of Options.DrainTimeout.
 const DefaultDrainTimeout = 30 * time.Second
 
 // Agent is one agent process.
 type Agent struct {
-	opts  Options
-	log   *slog.Logger
-	nodes net.Listener
-	admin net.Listener
+	opts      Options
+	log       *slog.Logger
+	nodes     net.Listener
+	operators net.Listener
 
-	ctx    context.Context // of tasks and announcements
+	ctx    context.Context // of tasks and announcements; cancelled when Run ends
 	cancel context.CancelFunc
 
 	started time.Time
 	leaving atomic.Bool
 
-	mu      sync.Mutex // guards what follows, and serializes the core
+	mu      sync.Mutex // guards the fields below and serializes calls to core
 	core    *agent.Agent
 	links   map[string]*entryLink // by entry incarnation
 	running map[agent.TaskRef]context.CancelFunc
-	known   map[string]string // entry address to incarnation; empty: not met
+	entries map[string]string // entry address to incarnation; empty if none is known
 	timer   *rpc.Timer
 }
 
-// New binds the agent's ports, so that its addresses are known before it runs.
+// New returns an agent that listens on its ports but serves nothing until Run is
+// called. Its addresses are known from then on.
 func New(opts Options) (*Agent, error) {
 	opts.DrainTimeout = cmp.Or(opts.DrainTimeout, DefaultDrainTimeout)
 	if opts.Metrics == nil {
@@ -104,27 +108,27 @@
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "listen on %s", opts.NodesListen)
 	}
-	var admin net.Listener
+	var operators net.Listener
 	if opts.OperatorsListen != "" {
-		if admin, err = net.Listen("tcp", opts.OperatorsListen); err != nil {
+		if operators, err = net.Listen("tcp", opts.OperatorsListen); err != nil {
 			_ = nodes.Close()
 			return nil, ErrStart.Wrap(err, "listen on %s", opts.OperatorsListen)
 		}
 	}
 	opts.Hello.Address = cmp.Or(opts.Hello.Address, nodes.Addr().String())
-	if opts.Hello.OperatorAddress == "" && admin != nil {
-		opts.Hello.OperatorAddress = admin.Addr().String()
+	if opts.Hello.OperatorAddress == "" && operators != nil {
+		opts.Hello.OperatorAddress = operators.Addr().String()
 	}
 	opts.Core.Hello = opts.Hello
 	a := &Agent{
 		started: time.Now(),
-		opts:    opts, log: opts.Logger, nodes: nodes, admin: admin, core: agent.New(opts.Core),
+		opts:    opts, log: opts.Logger, nodes: nodes, operators: operators, core: agent.New(opts.Core),
 		links:   make(map[string]*entryLink),
 		running: make(map[agent.TaskRef]context.CancelFunc),
-		known:   make(map[string]string),
+		entries: make(map[string]string),
 	}
 	for _, j := range opts.Join {
-		a.known[j] = ""
+		a.entries[j] = ""
 	}
 	a.timer = rpc.NewTimer(a.tick)
 	opts.Metrics.SetState(a.metricsState)
@@ -133,30 +137,31 @@
 	return a, nil
 }
 
-// NodesAddress is where entries open links.
+// NodesAddress returns the announced address at which entries open links.
 func (a *Agent) NodesAddress() string { return a.opts.Hello.Address }
 
-// ListenAddress is where the nodes port is bound, also when another address
-// is announced.
+// ListenAddress returns the listen address for entries, which may differ from the
+// announced one.
 func (a *Agent) ListenAddress() string { return a.nodes.Addr().String() }
 
-// OperatorsAddress is where operators are served; empty without that port.
+// OperatorsAddress returns the listen address for operators, or an empty string if
+// the agent has no operators' port.
 func (a *Agent) OperatorsAddress() string {
-	if a.admin == nil {
+	if a.operators == nil {
 		return ""
 	}
-	return a.admin.Addr().String()
+	return a.operators.Addr().String()
 }
 
-// Run serves until the context ends, then drains: the entries are told, no new
-// work is taken, and the end comes when the last result is acknowledged or
-// DrainTimeout has passed.
+// Run serves until the context ends, then drains: it notifies the entries, admits no
+// new tasks, and returns once the last result is acknowledged or DrainTimeout has
+// passed.
 func (a *Agent) Run(ctx context.Context) error {
 	servers := []*http.Server{rpc.NewServer(a.nodesHandler(), a.opts.NodesTLS)}
 	listeners := []net.Listener{a.nodes}
-	if a.admin != nil {
+	if a.operators != nil {
 		servers = append(servers, rpc.NewServer(a.operatorsHandler(), a.opts.OperatorsTLS))
-		listeners = append(listeners, a.admin)
+		listeners = append(listeners, a.operators)
 	}
 	go a.announceLoop()
 	a.log.Info("serving", "nodes", a.NodesAddress())
@@ -178,9 +183,9 @@
 func (a *Agent) drain() {
 	a.log.Info("draining", "limit", a.opts.DrainTimeout)
 	a.leaving.Store(true)
-	a.decide(a.core.Leave)
+	a.step(a.core.Leave)
 	if !rpc.Drain(a.opts.DrainTimeout, a.drained) {
-		a.recordProcess(event.DrainEnded, "at the limit, with work left")
+		a.recordProcess(event.DrainEnded, "limit reached with work left")
 		a.log.Warn("drain limit reached")
 		return
 	}
@@ -200,22 +205,22 @@
 	defer a.mu.Unlock()
 	a.timer.Stop()
 	for _, l := range a.links {
-		l.end()
+		l.cancel()
 	}
 }
 
-// Kill ends the agent at once, as a crash would: for tests and load tools.
+// Kill stops the agent at once, as a crash would. It is for tests and load tools.
 func (a *Agent) Kill() {
 	_ = a.nodes.Close()
-	if a.admin != nil {
-		_ = a.admin.Close()
+	if a.operators != nil {
+		_ = a.operators.Close()
 	}
 	a.stop()
 }
 
-// decide runs one input of the core and carries out what it asks for. The input
-// must not block.
-func (a *Agent) decide(input func(now time.Time)) {
+// step applies one input to the core and carries out the actions that the core
+// returns. The input must not block.
+func (a *Agent) step(input func(now time.Time)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
@@ -237,24 +242,24 @@
 	}
 	for _, entry := range ready.Relink {
 		if l := a.links[entry]; l != nil {
-			l.end()
+			l.cancel()
 		}
-		go a.relink(entry)
+		go a.requestLink(entry)
 	}
 	a.timer.Set(now, a.core.Next())
 }
 
-func (a *Agent) tick() { a.decide(a.core.Tick) }
+func (a *Agent) tick() { a.step(a.core.Tick) }
 
 func (a *Agent) run(ctx context.Context, r agent.Run) {
 	res := a.opts.Endpoint.Run(ctx, r)
 	if res.Outcome == pb.Outcome_OUTCOME_UNKNOWN && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		// The task was started, and its time is over: that much is known.
+		// The task has started and its deadline has passed, so it counts as failed.
 		res.Outcome, res.Error = pb.Outcome_OUTCOME_FAILED, "the deadline has passed"
 		a.stopTask(r.TaskRef)
 	}
-	a.countEnd(res)
-	a.decide(func(now time.Time) {
+	a.countResult(res)
+	a.step(func(now time.Time) {
 		if cancel := a.running[r.TaskRef]; cancel != nil {
 			cancel()
 			delete(a.running, r.TaskRef)
@@ -263,7 +268,7 @@
 	})
 }
 
-// stopTimeout bounds the request to stop a task.
+// stopTimeout limits a request to stop a task.
 const stopTimeout = 2 * time.Second
 
 func (a *Agent) stopTask(ref agent.TaskRef) {
@@ -274,7 +279,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if end := a.running[ref]; end != nil {
-		end()
+	if cancelRun := a.running[ref]; cancelRun != nil {
+		cancelRun()
 	}
 }
--- a/node/agent/endpoint.go
+++ b/node/agent/endpoint.go
@@ -10,14 +10,14 @@
 	"github.com/papayahoist/papayahoist/platform/endpoint"
 )
 
-// HTTPEndpoint runs tasks through the platform's service on the worker. The
-// service knows a job by contract and id, so that the stop of one customer's task
-// can't end that of another who chose the same id.
+// HTTPEndpoint runs tasks through the platform's service on the worker. It
+// identifies a job to the service by contract and id, so that stopping one customer's
+// task can't stop the task of another customer who chose the same id.
 type HTTPEndpoint struct {
 	Client endpoint.Client
 }
 
-// Run starts a task and waits for its end.
+// Run starts a task and waits until it has ended.
 func (h HTTPEndpoint) Run(ctx context.Context, r agent.Run) *pb.TaskResult {
 	res, err := h.Client.Run(ctx, endpoint.Task{Job: job.Name(r.Contract, r.Job), Index: r.Task, Contract: r.Contract, Kind: r.Kind, Payload: r.Payload})
 	if err == nil {
@@ -39,7 +39,7 @@
 	return pb.Outcome_OUTCOME_UNKNOWN
 }
 
-// Stop asks the worker to end a task.
+// Stop asks the worker to end a task early.
 func (h HTTPEndpoint) Stop(ctx context.Context, ref agent.TaskRef) error {
 	return h.Client.Stop(ctx, job.Name(ref.Contract, ref.Job), ref.Task)
 }
--- a/node/agent/endpoint_test.go
+++ b/node/agent/endpoint_test.go
@@ -16,20 +16,20 @@
 
 const contract = "desk"
 
-// A worker starts tasks and then says nothing more, on connections that stay
-// open, or breaks them off, or refuses. The caller must not hear "not run" of a
-// task that has started, nor wait beyond its deadline; and once the worker is well
-// again the next task runs, over a new connection, while the first is not started
-// a second time.
-func TestOutcomesOfABadEndpoint(t *testing.T) {
+// A worker starts tasks and then never replies on connections that stay open, or
+// closes them, or fails or refuses tasks. The outcome must not be "not run" for a
+// task that has started, and must be known by the deadline. Once the worker has
+// recovered, the next task must run over a new connection, and the first must not
+// be started again.
+func TestFaultyEndpointOutcomes(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults standin.Faults
 		want   pb.Outcome
 		starts int
 	}{
-		{"silent", standin.Faults{Silent: true}, pb.Outcome_OUTCOME_UNKNOWN, 1},
-		{"breaks off", standin.Faults{BreakRuns: true}, pb.Outcome_OUTCOME_UNKNOWN, 1},
+		{"unresponsive", standin.Faults{Silent: true}, pb.Outcome_OUTCOME_UNKNOWN, 1},
+		{"disconnects", standin.Faults{BreakRuns: true}, pb.Outcome_OUTCOME_UNKNOWN, 1},
 		{"fails all", standin.Faults{FailAll: true}, pb.Outcome_OUTCOME_FAILED, 1},
 		{"refuses", standin.Faults{RefuseAll: true}, pb.Outcome_OUTCOME_NOT_RUN, 0},
 	}
--- a/node/agent/links.go
+++ b/node/agent/links.go
@@ -17,11 +17,11 @@
 	"github.com/papayahoist/papayahoist/node/rpc"
 )
 
-// entryLink is one connection from an entry.
+// entryLink is a link from an entry, over a connection of its own.
 type entryLink struct {
-	epoch uint64
-	out   *rpc.Queue[*pb.AgentFrame]
-	end   context.CancelFunc
+	epoch  uint64
+	out    *rpc.Queue[*pb.AgentFrame]
+	cancel context.CancelFunc
 }
 
 func (a *Agent) nodesHandler() http.Handler {
@@ -38,7 +38,7 @@
 
 type linkStream = connect.BidiStream[pb.EntryFrame, pb.AgentFrame]
 
-// Link serves one link until it ends.
+// Link serves an entry's link until it ends.
 func (s *linkService) Link(ctx context.Context, stream *linkStream) error {
 	a := s.a
 	first, err := stream.Receive()
@@ -49,9 +49,9 @@
 	if hello.GetIncarnation() == "" {
 		return connect.NewError(connect.CodeInvalidArgument, ErrLink.New("the first frame has no hello"))
 	}
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	l := &entryLink{epoch: hello.Epoch, out: rpc.NewQueue[*pb.AgentFrame](), end: end}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	l := &entryLink{epoch: hello.Epoch, out: rpc.NewQueue[*pb.AgentFrame](), cancel: cancel}
 	a.opts.Core.Events.Observe(first.Clock, time.Now())
 	if refused := a.linkUp(hello, l); refused != "" {
 		return stream.Send(&pb.AgentFrame{Hello: &pb.AgentHello{
@@ -59,28 +59,28 @@
 		}})
 	}
 	defer a.linkDown(hello, l)
-	go a.readLink(stream, hello, end)
+	go a.readLink(stream, hello, cancel)
 	return l.out.Drain(ctx, stream.Send)
 }
 
 func (a *Agent) linkUp(hello *pb.EntryHello, l *entryLink) (refused string) {
-	a.decide(func(now time.Time) {
+	a.step(func(now time.Time) {
 		if refused = a.core.LinkUp(now, hello); refused != "" {
 			return
 		}
 		if old := a.links[hello.Incarnation]; old != nil {
-			old.end()
+			old.cancel()
 		}
 		a.links[hello.Incarnation] = l
 		if hello.Address != "" {
-			a.known[hello.Address] = hello.Incarnation
+			a.entries[hello.Address] = hello.Incarnation
 		}
 	})
 	return refused
 }
 
 func (a *Agent) linkDown(hello *pb.EntryHello, l *entryLink) {
-	a.decide(func(now time.Time) {
+	a.step(func(now time.Time) {
 		a.core.LinkDown(now, hello.Incarnation, hello.Epoch)
 		if a.links[hello.Incarnation] == l {
 			delete(a.links, hello.Incarnation)
@@ -88,8 +88,8 @@
 	})
 }
 
-func (a *Agent) readLink(stream *linkStream, hello *pb.EntryHello, end context.CancelFunc) {
-	defer end()
+func (a *Agent) readLink(stream *linkStream, hello *pb.EntryHello, cancel context.CancelFunc) {
+	defer cancel()
 	for {
 		f, err := stream.Receive()
 		if err != nil {
@@ -97,32 +97,32 @@
 		}
 		a.opts.Metrics.Message(metrics.EntryFrameKind(f), metrics.Received, proto.Size(f))
 		if len(f.Peers) > 0 {
-			a.learn(f.Peers)
-			a.forget(f.Peers)
+			a.addEntries(f.Peers)
+			a.pruneEntries(f.Peers)
 		}
-		a.decide(func(now time.Time) { a.core.Step(now, hello.Incarnation, hello.Epoch, f) })
+		a.step(func(now time.Time) { a.core.Step(now, hello.Incarnation, hello.Epoch, f) })
 	}
 }
 
 const (
-	announceEvery   = 500 * time.Millisecond
-	announceTimeout = time.Second
-	// joinEvery is how often a linked agent announces itself at an address behind
-	// which it knows no entry, such as the balancer's. That finds entries of which
-	// no linked one knows.
-	joinEvery = 30 * time.Second
+	announceInterval = 500 * time.Millisecond
+	announceTimeout  = time.Second
+	// joinInterval is how often a linked agent announces itself at addresses whose
+	// entry it does not know, such as the load balancer's. This finds entries that no
+	// linked entry knows.
+	joinInterval = 30 * time.Second
 )
 
-// announceLoop makes the agent known to each entry that has no link to it.
+// announceLoop announces the agent to each entry that has no link to it.
 func (a *Agent) announceLoop() {
-	t := time.NewTicker(announceEvery)
+	t := time.NewTicker(announceInterval)
 	defer t.Stop()
-	var joined time.Time
+	var lastJoin time.Time
 	for {
 		now := time.Now()
-		join := now.Sub(joined) >= joinEvery
+		join := now.Sub(lastJoin) >= joinInterval
 		if join {
-			joined = now
+			lastJoin = now
 		}
 		for _, address := range a.unlinked(join) {
 			a.announce(address, false, false)
@@ -135,14 +135,14 @@
 	}
 }
 
-// unlinked lists the addresses to announce at: those of entries without a link,
-// and, without any link or when join is set, those with no known entry behind.
+// unlinked returns the addresses to announce at: those of entries without a link
+// and, if join is set or there is no link at all, those whose entry is not known.
 func (a *Agent) unlinked(join bool) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	join = join || len(a.links) == 0
 	var out []string
-	for address, incarnation := range a.known {
+	for address, incarnation := range a.entries {
 		if incarnation == "" && join || incarnation != "" && a.links[incarnation] == nil {
 			out = append(out, address)
 		}
@@ -150,13 +150,13 @@
 	return out
 }
 
-func (a *Agent) announce(address string, relink, leaving bool) {
+func (a *Agent) announce(address string, newLink, leaving bool) {
 	ctx, cancel := context.WithTimeout(a.ctx, announceTimeout)
 	defer cancel()
 	client := rpc.NewClient(a.opts.NodesTLS)
 	defer client.CloseIdleConnections()
 	req := &pb.AnnounceRequest{
-		Agent: a.opts.Hello, Relink: relink, Leaving: leaving, Clock: a.opts.Core.Events.Stamp(time.Now()),
+		Agent: a.opts.Hello, Relink: newLink, Leaving: leaving, Clock: a.opts.Core.Events.Stamp(time.Now()),
 	}
 	a.opts.Metrics.Message(metrics.MessageAnnounce, metrics.Sent, proto.Size(req))
 	resp, err := papayahoistv1connect.NewEntryServiceClient(client, rpc.URL(address, a.opts.NodesTLS)).Announce(ctx,
@@ -165,47 +165,47 @@
 		a.log.Debug("announce failed", "entry", address, "err", err)
 		return
 	}
-	a.learn(resp.Msg.Peers)
+	a.addEntries(resp.Msg.Peers)
 }
 
-// learn takes in the entries that another one names. The announcements to come
-// make the agent known to them.
-func (a *Agent) learn(peers []*pb.Peer) {
+// addEntries records entries that another entry has sent. announceLoop announces
+// the agent to them.
+func (a *Agent) addEntries(peers []*pb.Peer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, p := range peers {
-		if p.Address != "" && a.known[p.Address] == "" {
-			a.known[p.Address] = p.Incarnation
+		if p.Address != "" && a.entries[p.Address] == "" {
+			a.entries[p.Address] = p.Incarnation
 		}
 	}
 }
 
-// forget drops entries without a link that a linked one doesn't name any more.
-// Entries are replaced all the time, and an agent that kept announcing itself to
-// each that ever was would spend its time waiting for dead addresses.
-func (a *Agent) forget(living []*pb.Peer) {
+// pruneEntries removes the entries that have no link and are not among the live
+// entries that a linked entry has sent. Entries are replaced all the time; without
+// pruning, the agent would spend its time on announcements to dead addresses.
+func (a *Agent) pruneEntries(live []*pb.Peer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for address, incarnation := range a.known {
-		named := slices.ContainsFunc(living, func(p *pb.Peer) bool { return p.Address == address })
-		if !named && a.links[incarnation] == nil && !slices.Contains(a.opts.Join, address) {
-			delete(a.known, address)
+	for address, incarnation := range a.entries {
+		listed := slices.ContainsFunc(live, func(p *pb.Peer) bool { return p.Address == address })
+		if !listed && a.links[incarnation] == nil && !slices.Contains(a.opts.Join, address) {
+			delete(a.entries, address)
 		}
 	}
 }
 
-// relink asks an entry for a new link over a new connection: the one in use has
-// gone silent, and only the entry opens links.
-func (a *Agent) relink(incarnation string) {
+// requestLink asks an entry for a new link over a new connection, because the
+// current one has become unresponsive and only entries open links.
+func (a *Agent) requestLink(incarnation string) {
 	a.mu.Lock()
-	var to string
-	for address, inc := range a.known {
+	var target string
+	for address, inc := range a.entries {
 		if inc == incarnation {
-			to = address
+			target = address
 		}
 	}
 	a.mu.Unlock()
-	if to != "" {
-		a.announce(to, true, false)
+	if target != "" {
+		a.announce(target, true, false)
 	}
 }
--- a/node/agent/operators.go
+++ b/node/agent/operators.go
@@ -10,10 +10,10 @@
 	"github.com/papayahoist/papayahoist/node/operator"
 )
 
-// roleAgent names the role in status and time line.
+// roleAgent is the name of the role in the status and the timeline.
 const roleAgent = "agent"
 
-// operatorsHandler serves the operators' port from the agent's own state.
+// operatorsHandler serves the operators' port.
 func (a *Agent) operatorsHandler() http.Handler {
 	return operator.NewHandler(operator.Options{
 		Status:      a,
@@ -53,7 +53,7 @@
 	}
 }
 
-// metricsState is read at each scrape.
+// metricsState returns the values of the gauges; it is called at each scrape.
 func (a *Agent) metricsState() metrics.AgentState {
 	a.mu.Lock()
 	c := a.core.Counts()
@@ -66,8 +66,8 @@
 	}
 }
 
-// countEnd counts a task's end at the endpoint.
-func (a *Agent) countEnd(res *pb.TaskResult) {
+// countResult counts the result of a task that the endpoint has run.
+func (a *Agent) countResult(res *pb.TaskResult) {
 	if res.Outcome == pb.Outcome_OUTCOME_FAILED {
 		a.opts.Metrics.TasksFailed.Inc()
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-// recordProcess keeps an event about this process.
+// recordProcess records an event about this process.
 func (a *Agent) recordProcess(kind event.Kind, detail string) {
 	a.opts.Core.Events.Record(time.Now(), event.Event{Kind: kind, Detail: detail})
 }
