--- a/node/clock/clock.go
+++ b/node/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock reads a clock that also counts the time in which the machine was
-// suspended. The process's steady clock stands still then, while leases, peers and
-// callers go on: a process that wakes would take its beliefs for younger than they
-// are.
+// Package clock reads a clock that includes the time during which the machine was
+// suspended. The process's monotonic clock stops then, while leases expire and peers
+// and callers go on: by that clock, a process that resumes would take its state for
+// more recent than it is.
 package clock
 
 import (
@@ -10,20 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since some moment in the past, as a time. It only compares with
-// other results of Now in this process.
+// Now returns the time since an arbitrary point in the past, as a time.Time. It can
+// be compared only with other results of Now in the same process.
 func Now() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Old kernels lack this clock; the steady clock is then all there is.
+		// Old kernels lack this clock; only the monotonic clock is available there.
 		return time.Now()
 	}
 	return time.Unix(t.Sec, t.Nsec)
 }
 
-// started anchors Steady.
-var started = time.Now()
+// processStart is the origin of the monotonic time.
+var processStart = time.Now()
 
-// Steady is the process's steady clock, which stands still while the machine is
-// suspended, as the time since the process began.
-func Steady() time.Duration { return time.Since(started) }
+// Steady returns the time since the process started by its monotonic clock, which
+// stops while the machine is suspended.
+func Steady() time.Duration { return time.Since(processStart) }
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -94,7 +94,7 @@
 
 // Announced records that the entry's announcement in the store is valid until the
 // given time, which is counted from before the call to the store. It returns true
-// if the caller must read the list of entries and pass it to Listed.
+// if the list of entries must be read from the store and applied.
 func (e *Entry) Announced(until time.Time) (list bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/roster/roster.go
+++ b/node/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster keeps the list of an installation's entries in the platform's
-// store, for processes whose seeds are stale and who know no living entry. It is a
-// hint, never a belief: who is on it must still answer.
+// Package roster maintains the list of an installation's entries in the platform's
+// store. Processes whose seeds are stale use it to find a live entry. The list is
+// only a hint: a listed entry counts as live only once it has answered.
 package roster
 
 import (
@@ -14,61 +14,68 @@
 )
 
 const (
-	// Prefix of the entries' keys.
-	Prefix = "papayahoist/entries/"
-	// ttl is how long an entry that has ended is listed.
-	ttl = 12 * time.Second
-	// renewEvery leaves two renewals to be lost before the lease ends.
-	renewEvery = 4 * time.Second
-	// alone is how long an entry waits for others to answer before it looks for them.
-	alone = 500 * time.Millisecond
-	// retryAfter is the pause after a call that failed.
-	retryAfter = time.Second
+	// KeyPrefix is the key prefix of the entries in the store.
+	KeyPrefix = "papayahoist/entries/"
+	// leaseTTL is how long an entry that has crashed stays listed.
+	leaseTTL = 12 * time.Second
+	// renewInterval allows two renewals to fail before the lease expires.
+	renewInterval = 4 * time.Second
+	// firstListDelay is how long a starting entry waits for other entries to answer
+	// before it reads the list.
+	firstListDelay = 500 * time.Millisecond
+	// retryDelay is the delay after a failed call, and the timeout of the call that
+	// removes the entry from the list.
+	retryDelay = time.Second
 )
 
 // Options configure a Roster.
 type Options struct {
 	Store         store.Client
 	Name, Address string
-	// ListEvery is how often the entry looks for others that its seeds don't lead to.
+	// ListEvery returns the interval at which the entry reads the list, to find
+	// entries that its seeds don't lead to.
 	ListEvery func() time.Duration
-	// Alone reports whether it knows no other; then it looks at once.
+	// Alone reports whether the entry knows no other. If that is so shortly after Run
+	// begins, the list is read at once.
 	Alone  func() bool
 	Logger *slog.Logger
 }
 
-// Roster keeps one entry listed.
+// Roster keeps one entry on the list.
 type Roster struct {
-	o       Options
+	opts    Options
 	lease   atomic.Int64
 	leaving atomic.Bool
 }
 
-// New returns a Roster; Run keeps the entry listed.
-func New(o Options) *Roster { return &Roster{o: o} }
+// New returns a Roster. Run adds the entry to the list and keeps it there.
+func New(o Options) *Roster { return &Roster{opts: o} }
 
-// Run lists the entry and reports the others until the context ends.
+// Run keeps the entry on the list until the context ends or Leave is called. It
+// passes the addresses of all listed entries, its own included, to found after each
+// read of the list.
 func (r *Roster) Run(ctx context.Context, found func(addresses []string)) {
-	// Those that begin together look at different times, but for one that finds no other.
-	listed := time.Now().Add(-rand.N(r.o.ListEvery()))
-	wait, begins := alone, true
+	// Entries that start together read the list at different times, except for one
+	// that knows no other.
+	lastListed := time.Now().Add(-rand.N(r.opts.ListEvery()))
+	wait, first := firstListDelay, true
 	for ctx.Err() == nil && !r.leaving.Load() {
-		renewed := r.renew(ctx)
-		if renewed != nil {
-			r.o.Logger.Warn("roster_not_renewed", "err", renewed)
+		renewErr := r.renew(ctx)
+		if renewErr != nil {
+			r.opts.Logger.Warn("roster_not_renewed", "err", renewErr)
 		}
 		r.pause(ctx, wait)
-		wait = renewEvery
-		if renewed != nil {
-			wait = retryAfter
+		wait = renewInterval
+		if renewErr != nil {
+			wait = retryDelay
 		}
-		due := time.Since(listed) >= r.o.ListEvery() || begins && r.o.Alone()
-		begins = false
-		if !due {
+		listDue := time.Since(lastListed) >= r.opts.ListEvery() || first && r.opts.Alone()
+		first = false
+		if !listDue {
 			continue
 		}
-		if addresses, err := Find(ctx, r.o.Store); err == nil {
-			listed = time.Now()
+		if addresses, err := Find(ctx, r.opts.Store); err == nil {
+			lastListed = time.Now()
 			found(addresses)
 		}
 	}
@@ -81,49 +88,50 @@
 	}
 }
 
-// renew keeps the lease, or takes a new one and writes the entry's key under it.
+// renew renews the lease. If there is none, it requests one and writes the entry's
+// key under it.
 func (r *Roster) renew(ctx context.Context) error {
 	if id := store.LeaseID(r.lease.Load()); id != 0 {
-		err := r.o.Store.KeepAlive(ctx, id)
+		err := r.opts.Store.KeepAlive(ctx, id)
 		if !store.IsLeaseGone(err) {
 			return err
 		}
 		r.lease.Store(0)
 	}
-	id, err := r.o.Store.Grant(ctx, ttl)
+	id, err := r.opts.Store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
-	key := Prefix + r.o.Name
-	prev := store.Revision(0)
-	// An earlier process of the same name may have left its key.
-	if item, err := r.o.Store.Get(ctx, key); err == nil {
-		prev = item.Revision
+	key := KeyPrefix + r.opts.Name
+	prevRevision := store.Revision(0)
+	// An earlier process of the same name may have left its key in the store.
+	if item, err := r.opts.Store.Get(ctx, key); err == nil {
+		prevRevision = item.Revision
 	}
-	if _, err := r.o.Store.CompareAndSwap(ctx, key, prev, []byte(r.o.Address), id); err != nil {
+	if _, err := r.opts.Store.CompareAndSwap(ctx, key, prevRevision, []byte(r.opts.Address), id); err != nil {
 		return err
 	}
 	r.lease.Store(int64(id))
 	return nil
 }
 
-// Leave takes the entry off the list.
+// Leave removes the entry from the list. It does not block.
 func (r *Roster) Leave() {
 	r.leaving.Store(true)
 	if id := store.LeaseID(r.lease.Load()); id != 0 {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), retryAfter)
+			ctx, cancel := context.WithTimeout(context.Background(), retryDelay)
 			defer cancel()
-			if err := r.o.Store.Revoke(ctx, id); err != nil {
-				r.o.Logger.Warn("roster_not_left", "err", err)
+			if err := r.opts.Store.Revoke(ctx, id); err != nil {
+				r.opts.Logger.Warn("roster_not_left", "err", err)
 			}
 		}()
 	}
 }
 
-// Find reads the addresses of the entries listed.
+// Find returns the addresses of the listed entries.
 func Find(ctx context.Context, c store.Client) ([]string, error) {
-	items, _, err := c.List(ctx, Prefix)
+	items, _, err := c.List(ctx, KeyPrefix)
 	if err != nil {
 		return nil, err
 	}
--- a/node/roster/roster_test.go
+++ b/node/roster/roster_test.go
@@ -13,9 +13,9 @@
 	"github.com/papayahoist/papayahoist/platform/adapter/standin"
 )
 
-// All seeds that a process starts with may be stale. It finds the living entries by
-// the list in the store, on which an entry that has left is no more.
-func TestEntriesAreFoundByTheList(t *testing.T) {
+// All seeds of a starting process may be stale. It must find the live entries
+// through the list in the store, and an entry that has left must not be listed.
+func TestEntriesFoundThroughList(t *testing.T) {
 	server := httptest.NewServer(standin.NewStore())
 	defer server.Close()
 	client := adapter.NewStore(strings.TrimPrefix(server.URL, "http://"), adapter.StoreOptions{})
--- a/node/rpc/clients.go
+++ b/node/rpc/clients.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// clientIdle is how long a client without use is kept.
-const clientIdle = 10 * time.Minute
+// clientIdleTimeout is how long an unused client is kept.
+const clientIdleTimeout = 10 * time.Minute
 
-// Clients keeps a client with its connections per address. It is safe for
+// Clients caches one client, with its connections, per address. It is safe for
 // concurrent use.
 type Clients struct {
 	tls *tls.Config
 
 	mu      sync.Mutex
-	clients map[string]*kept
+	clients map[string]*cachedClient
 }
 
-type kept struct {
-	client *http.Client
-	used   time.Time
+type cachedClient struct {
+	client   *http.Client
+	lastUsed time.Time
 }
 
-// NewClients returns an empty set; nil is for plain connections.
+// NewClients returns an empty cache. A nil tlsConfig means no TLS.
 func NewClients(tlsConfig *tls.Config) *Clients {
-	return &Clients{tls: tlsConfig, clients: make(map[string]*kept)}
+	return &Clients{tls: tlsConfig, clients: make(map[string]*cachedClient)}
 }
 
-// Get returns the client for an address.
+// Get returns the client for an address, creating it if there is none.
 func (c *Clients) Get(address string) *http.Client {
 	now := time.Now()
 	c.mu.Lock()
@@ -37,24 +37,24 @@
 	k := c.clients[address]
 	if k == nil {
 		c.prune(now)
-		k = &kept{client: NewClient(c.tls)}
+		k = &cachedClient{client: NewClient(c.tls)}
 		c.clients[address] = k
 	}
-	k.used = now
+	k.lastUsed = now
 	return k.client
 }
 
 func (c *Clients) prune(now time.Time) {
 	for address, k := range c.clients {
-		if now.Sub(k.used) > clientIdle {
+		if now.Sub(k.lastUsed) > clientIdleTimeout {
 			delete(c.clients, address)
 			k.client.CloseIdleConnections()
 		}
 	}
 }
 
-// Drop gives up a client on which a call has failed: its connection may have gone
-// silent for good while a new one works. Calls that run on it go on.
+// Drop removes a client on which a call has failed: its connection may stay
+// unresponsive while a new one would work. Calls in progress on it continue.
 func (c *Clients) Drop(address string, client *http.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/rpc/queue.go
+++ b/node/rpc/queue.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Queue hands frames from the one that decides, who must not block, to the one
-// that writes them to a stream. It has no bound of its own: credits and
-// acknowledgements bound what is in flight, and a silent link ends within
-// seconds. It is safe for concurrent use.
+// Queue passes frames from the state machine's driver, which must not block, to the
+// goroutine that writes them to a stream. It is unbounded: credits and
+// acknowledgements limit the frames in flight, and an unresponsive link is closed
+// within seconds. It is safe for concurrent use.
 type Queue[T any] struct {
 	mu     sync.Mutex
 	items  []T
@@ -19,7 +19,7 @@
 // NewQueue returns an empty queue.
 func NewQueue[T any]() *Queue[T] { return &Queue[T]{wake: make(chan struct{}, 1)} }
 
-// Put adds an item; after Close it is dropped.
+// Put adds an item. After Close, the item is dropped.
 func (q *Queue[T]) Put(item T) {
 	q.mu.Lock()
 	if !q.closed {
@@ -29,7 +29,7 @@
 	q.signal()
 }
 
-// Close ends the queue; Take then returns false, also with items left.
+// Close closes the queue. Take then returns false, even if items are left.
 func (q *Queue[T]) Close() {
 	q.mu.Lock()
 	q.closed = true
@@ -44,8 +44,8 @@
 	}
 }
 
-// Take waits for items and returns all of them; false when the queue was closed
-// or the context has ended. Only one goroutine may call it.
+// Take waits for items and returns all of them. It returns false if the queue is
+// closed or the context has ended. Only one goroutine may call it.
 func (q *Queue[T]) Take(ctx context.Context) ([]T, bool) {
 	for {
 		q.mu.Lock()
@@ -66,8 +66,9 @@
 	}
 }
 
-// Drain hands all items to send, in order, until the queue is closed, the context
-// ends or send fails, whose error it returns. Only one goroutine may call it.
+// Drain passes all items to send, in order, until the queue is closed, the context
+// ends or send fails. It returns only the error of send. Only one goroutine may
+// call it.
 func (q *Queue[T]) Drain(ctx context.Context, send func(T) error) error {
 	for {
 		items, ok := q.Take(ctx)
--- a/node/rpc/rpc.go
+++ b/node/rpc/rpc.go
@@ -1,5 +1,6 @@
-// Package rpc holds what servers and clients between our processes share: HTTP/2
-// without TLS or with it, and connections that are not shared between links.
+// Package rpc provides the HTTP servers and clients for traffic between the
+// project's processes: HTTP/2 with or without TLS, and connections that are not
+// shared between links.
 package rpc
 
 import (
@@ -13,24 +14,28 @@
 	"connectrpc.com/connect"
 )
 
-// NoCompression keeps connect from compressing what a handler sends and a client
-// accepts. Frames between processes are some hundred bytes and go out one by one:
-// compressing them took two thirds of an entry's processor.
+// Options that disable compression. Frames between processes are a few hundred bytes
+// long and are sent one by one: compressing them took two thirds of an entry's CPU
+// time.
 var (
-	NoCompression       = connect.WithCompression("gzip", nil, nil)
+	// NoCompression is for connect handlers.
+	NoCompression = connect.WithCompression("gzip", nil, nil)
+	// NoCompressionWanted is for connect clients.
 	NoCompressionWanted = connect.WithAcceptCompression("gzip", nil, nil)
 )
 
 const (
 	dialTimeout       = time.Second
 	readHeaderTimeout = 5 * time.Second
-	// pingAfter exceeds the heartbeat of links, so that a link costs no pings.
-	pingAfter      = 15 * time.Second
-	pingTimeout    = 5 * time.Second
-	maxHeaderBytes = 16 << 10
+	// pingIdleTimeout exceeds the heartbeat interval of links, so that links need no
+	// pings.
+	pingIdleTimeout = 15 * time.Second
+	pingTimeout     = 5 * time.Second
+	maxHeaderBytes  = 16 << 10
 )
 
-// NewServer returns a server that speaks HTTP/1.1 and HTTP/2 on one port.
+// NewServer returns a server for HTTP/1.1 and HTTP/2 on one port. A nil tlsConfig
+// means no TLS.
 func NewServer(h http.Handler, tlsConfig *tls.Config) *http.Server {
 	var p http.Protocols
 	p.SetHTTP1(true)
@@ -39,18 +44,19 @@
 	return &http.Server{HTTP2: keepAlive(), Handler: h, Protocols: &p, TLSConfig: tlsConfig, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// NewClient returns a client with connections of its own. A link takes a new one
-// each time: a pool would hand it the connection that has gone silent.
+// NewClient returns a client with its own connections. Each new link uses a new
+// client: from a shared pool it could get the connection that has become
+// unresponsive. A nil tlsConfig is for servers without TLS.
 func NewClient(tlsConfig *tls.Config) *http.Client {
 	return NewClientWithin(dialTimeout, tlsConfig)
 }
 
-// NewClientWithin returns such a client that waits so long for a connection.
-func NewClientWithin(dial time.Duration, tlsConfig *tls.Config) *http.Client {
+// NewClientWithin is like NewClient but with the given dial timeout.
+func NewClientWithin(timeout time.Duration, tlsConfig *tls.Config) *http.Client {
 	var p http.Protocols
 	p.SetHTTP2(true)
 	p.SetUnencryptedHTTP2(tlsConfig == nil)
-	d := &net.Dialer{Timeout: dial}
+	d := &net.Dialer{Timeout: timeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext: d.DialContext,
 		DialTLSContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -61,8 +67,8 @@
 	}}
 }
 
-// dialTLS opens a connection with the configuration that is current now, which
-// the one given may have to be asked for; see package certs.
+// dialTLS opens a connection with the current TLS configuration: that of
+// config.GetConfigForClient if it is set, as in the configurations of package certs.
 func dialTLS(ctx context.Context, d *net.Dialer, config *tls.Config, network, addr string) (net.Conn, error) {
 	if config == nil {
 		config = &tls.Config{MinVersion: tls.VersionTLS13}
@@ -80,18 +86,19 @@
 	return dialer.DialContext(ctx, network, addr)
 }
 
-// keepAlive has a connection closed that has gone silent, and the goroutines that
-// write to it with it. Links notice silence themselves, and sooner; without pings
-// what they leave behind would stay until the system gives the connection up.
+// keepAlive returns an HTTP/2 configuration with which unresponsive connections are
+// closed and the goroutines that write to them end. Links detect an unresponsive
+// peer sooner by themselves, but without pings the connections that they abandon
+// would stay open until the operating system's timeout.
 func keepAlive() *http.HTTP2Config {
 	return &http.HTTP2Config{
-		SendPingTimeout:  pingAfter,
+		SendPingTimeout:  pingIdleTimeout,
 		PingTimeout:      pingTimeout,
 		WriteByteTimeout: pingTimeout,
 	}
 }
 
-// URL returns the base URL of a node address.
+// URL returns the base URL of a node address; its scheme is http if tlsConfig is nil.
 func URL(address string, tlsConfig *tls.Config) string {
 	if tlsConfig != nil {
 		return "https://" + address
@@ -99,7 +106,7 @@
 	return "http://" + address
 }
 
-// Serve serves until the server is closed; a closed server is no error.
+// Serve serves until the server is closed, which is not an error.
 func Serve(s *http.Server, l net.Listener) error {
 	var err error
 	if s.TLSConfig != nil {
--- a/node/rpc/serve.go
+++ b/node/rpc/serve.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// ServeUntil serves every listener with the server at the same place, until the
-// context ends or a server fails. It closes nothing.
+// ServeUntil serves each listener with the server of the same index, until the
+// context ends or a server fails. It returns the error of the failed server, and
+// does not close the servers or listeners.
 func ServeUntil(ctx context.Context, servers []*http.Server, listeners []net.Listener) error {
 	failed := make(chan error, len(servers))
 	for i, s := range servers {
@@ -22,10 +23,10 @@
 	}
 }
 
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
-// Drain waits until the work in hand has ended, at most for the limit, and
-// reports whether it did. Without a limit a process whose peer is gone for good
+// Drain polls drained until it returns true or the limit has passed, and reports
+// whether it returned true. Without a limit, a process whose peer never returns
 // would never end.
 func Drain(limit time.Duration, drained func() bool) bool {
 	end := time.Now().Add(limit)
@@ -33,7 +34,7 @@
 		if drained() {
 			return true
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	return false
 }
--- a/node/rpc/timer.go
+++ b/node/rpc/timer.go
@@ -2,24 +2,27 @@
 
 import "time"
 
-// minWait keeps a time that has passed from turning into a busy loop.
-const minWait = time.Millisecond
+// minDelay is the minimum delay of a call, so that times in the past don't cause a
+// busy loop.
+const minDelay = time.Millisecond
 
-// Timer wakes a decision when its Next time comes. Its methods must be called
-// by one goroutine at a time.
+// Timer calls a function at a time that can be changed, such as the Next time of a
+// state machine. Its methods must be called by one goroutine at a time.
 type Timer struct {
 	t  *time.Timer
 	at time.Time
 }
 
-// NewTimer returns a timer that calls f in a goroutine of its own.
+// NewTimer returns a timer that calls f in its own goroutine. No call is scheduled
+// until Set.
 func NewTimer(f func()) *Timer {
 	t := time.AfterFunc(time.Hour, f)
 	t.Stop()
 	return &Timer{t: t}
 }
 
-// Set asks for a call at the given time; the zero time asks for none.
+// Set schedules a call at the given time in place of the previous one. The zero time
+// cancels it.
 func (t *Timer) Set(now, at time.Time) {
 	if at.Equal(t.at) && at.After(now) {
 		return
@@ -29,8 +32,8 @@
 		t.t.Stop()
 		return
 	}
-	t.t.Reset(max(minWait, at.Sub(now)))
+	t.t.Reset(max(minDelay, at.Sub(now)))
 }
 
-// Stop ends the timer.
+// Stop cancels the scheduled call.
 func (t *Timer) Stop() { t.t.Stop() }
