--- a/node/entry/operators.go
+++ b/node/entry/operators.go
@@ -153,22 +153,22 @@
 	return e.opts.Metrics.Contract(contract)
 }
 
-// countSubmission counts a new job, and its refusal if refused is not nil.
-func (e *Entry) countSubmission(contract string, refused *pb.Answer) {
+// countSubmission counts a new job, and its refusal if it was answered as not run.
+func (e *Entry) countSubmission(contract string, answer *pb.Answer) {
 	c := e.series(contract)
 	c.Offered.Add(1)
-	if refused != nil && refused.Outcome == pb.Outcome_OUTCOME_NOT_RUN {
-		c.Refused(jobs.Code(refused.Code))
+	if answer != nil && answer.Outcome == pb.Outcome_OUTCOME_NOT_RUN {
+		c.Refused(jobs.Code(answer.Code))
 	}
 }
 
-// countAnswer counts how a job ended that Ready has just answered.
-func (e *Entry) countAnswer(ended entry.Ended) {
-	a, c := ended.Answer, e.series(ended.Contract)
+// countAnswer counts the outcome of a job that Ready has just answered.
+func (e *Entry) countAnswer(answered entry.Ended) {
+	a, c := answered.Answer, e.series(answered.Contract)
 	switch a.Outcome {
 	case pb.Outcome_OUTCOME_COMPLETE:
 		c.Served.Add(1)
-		if response, ideal, ok := e.core.Answered(ended); ok {
+		if response, ideal, ok := e.core.Answered(answered); ok {
 			c.Response(response, ideal)
 		}
 	case pb.Outcome_OUTCOME_NOT_RUN:
