--- a/node/settings/decode.go
+++ b/node/settings/decode.go
@@ -12,19 +12,20 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxDepth bounds nesting: deeper than any known key, and shallow enough that
-// a hostile file can't exhaust the parser's stack.
+// maxDepth bounds nesting. No known key is nested this deeply, and the limit
+// keeps a malicious file from exhausting the parser's stack.
 const maxDepth = 16
 
-// source is where settings came from. The zero source stands for settings that
-// were built in code.
+// source records where settings were read from. The zero source stands for
+// settings that were constructed in code.
 type source struct {
 	file  string
-	lines map[string]int // by dotted key
+	lines map[string]int // line number by dotted key
 }
 
-// at is the prefix of a message about key: file and line as far as known.
-func (s source) at(key string) string {
+// position returns the prefix of messages about key: the file and line, as far
+// as they are known.
+func (s source) position(key string) string {
 	switch line := s.lines[key]; {
 	case s.file == "":
 		return ""
@@ -35,8 +36,8 @@
 	}
 }
 
-// decoder fills a settings struct from one file's syntax tree. The standard
-// decoder doesn't say where an unknown key stands; this one does.
+// decoder fills a settings struct from the syntax tree of a file. Unlike
+// encoding/json, it reports the line of an unknown key.
 type decoder struct {
 	text     []byte
 	source   source
@@ -47,7 +48,7 @@
 	return &decoder{text: text, source: source{file: file, lines: map[string]int{}}}
 }
 
-// parse returns the file's top object.
+// parse returns the file's top-level object.
 func (d *decoder) parse() (*hujson.Object, error) {
 	if depth(d.text) > maxDepth {
 		return nil, Malformed.New("%s: nested deeper than %d", d.source.file, maxDepth)
@@ -58,13 +59,13 @@
 	}
 	object, ok := tree.Value.(*hujson.Object)
 	if !ok {
-		return nil, Malformed.New("%s:%d: want one object", d.source.file, d.line(tree.StartOffset))
+		return nil, Malformed.New("%s:%d: want a single JSON object", d.source.file, d.line(tree.StartOffset))
 	}
 	return object, nil
 }
 
-// depth counts open brackets at their deepest. Brackets in strings and
-// comments count too; no valid settings file has many.
+// depth returns the maximum number of open brackets. It also counts brackets in
+// strings and comments, which are rare in valid settings files.
 func depth(text []byte) int {
 	var open, deepest int
 	for _, c := range text {
@@ -79,12 +80,14 @@
 	return deepest
 }
 
+// line returns the line number of a byte offset.
 func (d *decoder) line(offset int) int {
 	return 1 + bytes.Count(d.text[:offset], []byte("\n"))
 }
 
-// object fills the struct behind target; prefix is the dotted key of object.
-func (d *decoder) object(object *hujson.Object, prefix string, target reflect.Value) {
+// decodeObject sets the fields of the struct target from object. The prefix is
+// the dotted key of object, including the trailing dot.
+func (d *decoder) decodeObject(object *hujson.Object, prefix string, target reflect.Value) {
 	for i := range object.Members {
 		member := &object.Members[i]
 		name := member.Name.Value.(hujson.Literal).String()
@@ -102,30 +105,31 @@
 			continue
 		}
 		d.source.lines[key] = line
-		d.value(&member.Value, key, field)
+		d.decodeValue(&member.Value, key, field)
 	}
 }
 
-// value fills one field.
-func (d *decoder) value(value *hujson.Value, key string, field reflect.Value) {
+// decodeValue sets one field.
+func (d *decoder) decodeValue(value *hujson.Value, key string, field reflect.Value) {
 	if field.Kind() == reflect.Struct {
 		object, ok := value.Value.(*hujson.Object)
 		if !ok {
-			d.wrong(key, value, "an object")
+			d.addWrongValue(key, value, "an object")
 			return
 		}
-		d.object(object, key+".", field)
+		d.decodeObject(object, key+".", field)
 		return
 	}
 	text := value.Clone()
 	text.Standardize()
-	// null would leave the default in place without a word.
+	// A null would silently leave the default in place.
 	packed := bytes.TrimSpace(text.Pack())
 	if string(packed) == "null" || decodeLeaf(packed, field) != nil {
-		d.wrong(key, value, wanted(field))
+		d.addWrongValue(key, value, describeType(field))
 	}
 }
 
+// decodeLeaf unmarshals a value that is not an object into field.
 func decodeLeaf(text []byte, field reflect.Value) error {
 	duration, ok := field.Addr().Interface().(*time.Duration)
 	if !ok {
@@ -143,18 +147,18 @@
 	return nil
 }
 
-func (d *decoder) wrong(key string, value *hujson.Value, want string) {
+func (d *decoder) addWrongValue(key string, value *hujson.Value, want string) {
 	d.problems = append(d.problems, WrongValue.New("%skey %q is %s; want %s",
-		d.source.at(key), key, shorten(value.Value), want))
+		d.source.position(key), key, describeValue(value.Value), want))
 }
 
-// shorten shows a value in a message.
-func shorten(value hujson.ValueTrimmed) string {
-	const most = 60
+// describeValue formats a value for an error message.
+func describeValue(value hujson.ValueTrimmed) string {
+	const maxLength = 60
 	switch v := value.(type) {
 	case hujson.Literal:
-		if len(v) > most {
-			return string(v[:most]) + "..."
+		if len(v) > maxLength {
+			return string(v[:maxLength]) + "..."
 		}
 		return string(v)
 	case *hujson.Object:
@@ -164,8 +168,8 @@
 	}
 }
 
-// wanted describes a field's JSON type.
-func wanted(field reflect.Value) string {
+// describeType describes the JSON type of a field for an error message.
+func describeType(field reflect.Value) string {
 	switch field.Interface().(type) {
 	case time.Duration:
 		return `a duration with a unit, such as "2s"`
--- a/node/settings/leased.go
+++ b/node/settings/leased.go
@@ -8,68 +8,73 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// Roles of a process beside workers that run tasks under leases, on a platform
-// that keeps the configuration.
+// Roles of processes for workers that run tasks under leases. The platform stores
+// their configuration.
 const (
 	RoleLeasedEntry Role = "leased-entry"
 	RoleLeasedAgent Role = "leased-agent"
 )
 
-// Bounds are what the platform and its workers promise. Zero: not stated.
+// Bounds holds limits that the platform and its workers guarantee. A zero value
+// means that no guarantee is known.
 type Bounds struct {
-	// Resend is the least time after which a caller without an answer sends a job
-	// again.
+	// Resend is the minimum time before a caller that got no answer resubmits a
+	// job.
 	Resend time.Duration `json:"resend"`
-	// MaxLease is the longest lease that a worker grants.
+	// MaxLease is the maximum lease duration that a worker grants.
 	MaxLease time.Duration `json:"max_lease"`
-	// Stop is the longest time that a worker takes to end a run.
+	// Stop is the maximum time that a worker takes to stop a run.
 	Stop time.Duration `json:"stop"`
-	// Grace is the time between a planned stop's signal and the kill.
+	// Grace is the time between the signal of a planned shutdown and the kill.
 	Grace time.Duration `json:"grace"`
-	// RemoteFactor is how many times longer a task takes away from its data's rack.
+	// RemoteFactor is the ratio of a task's run time outside the rack of its data
+	// to its run time within it.
 	RemoteFactor float64 `json:"remote_factor"`
 }
 
-// LeasedEntry is the settings of an entry for workers with leases.
+// LeasedEntry holds the settings of an entry for workers with leases.
 type LeasedEntry struct {
 	Role          Role   `json:"role"`
 	Name          string `json:"name"`
 	FailureDomain string `json:"failure_domain"`
-	// CallersListen, ReadyListen and NodesListen are the "ip:port" that callers, the
-	// balancer's question for readiness, and agents and other entries reach.
+	// CallersListen, ReadyListen and NodesListen are the "ip:port" addresses to bind
+	// for callers, for the readiness probes of the load balancer, and for agents
+	// and other entries.
 	CallersListen string `json:"callers_listen"`
 	ReadyListen   string `json:"ready_listen"`
 	NodesListen   string `json:"nodes_listen"`
-	// NodesAddress is the "ip:port" that agents and other entries are told; empty:
-	// NodesListen.
+	// NodesAddress is the "ip:port" advertised to agents and other entries. If
+	// empty, NodesListen is advertised.
 	NodesAddress string `json:"nodes_address"`
-	// MetricsListen is for operators; empty: none.
+	// MetricsListen is the "ip:port" to bind for operators. If empty, there is no
+	// such port.
 	MetricsListen string `json:"metrics_listen"`
-	// StoreAddress is that of the platform's key-value service.
+	// StoreAddress is the address of the platform's key-value store.
 	StoreAddress string `json:"store_address"`
-	// Seeds are nodes' addresses of entries, which may be stale.
+	// Seeds are nodes addresses of entries; they may be out of date.
 	Seeds  []string `json:"seeds"`
 	Bounds Bounds   `json:"bounds"`
-	// ProcessorShare is the part of a core that the process may use.
+	// ProcessorShare is the fraction of a core that the process may use.
 	ProcessorShare float64    `json:"processor_share"`
 	MemoryMB       uint32     `json:"memory_mb"`
 	LogLevel       slog.Level `json:"log_level"`
-	// Without names mechanisms of the decisions that are switched off; see package
-	// without. For developers.
+	// Without lists the disabled features; see package without. It is meant for
+	// developers.
 	Without []string `json:"without"`
 }
 
-// LeasedAgent is the settings of an agent beside a worker with leases.
+// LeasedAgent holds the settings of an agent beside a worker with leases.
 type LeasedAgent struct {
 	Role          Role   `json:"role"`
 	Name          string `json:"name"`
 	FailureDomain string `json:"failure_domain"`
-	// ReportsListen is the "ip:port" at which the worker reports itself.
+	// ReportsListen is the "ip:port" to bind for the worker's reports.
 	ReportsListen string `json:"reports_listen"`
 	MetricsListen string `json:"metrics_listen"`
-	// WorkerAddress is the worker's on this machine.
+	// WorkerAddress is the address of the worker on this machine.
 	WorkerAddress string `json:"worker_address"`
-	// Connections is how many the worker takes; zero: the default.
+	// Connections is the number of connections that the worker accepts; if omitted,
+	// a default is used.
 	Connections  uint32     `json:"connections"`
 	StoreAddress string     `json:"store_address"`
 	Seeds        []string   `json:"seeds"`
@@ -80,27 +85,29 @@
 	Without []string `json:"without"`
 }
 
-// Defaults of both.
+// Defaults and limits.
 const (
 	defaultGrace = 6 * time.Second
-	// defaultLeasedConnections serve the calls to a worker that overlap.
+	// defaultLeasedConnections is enough for the concurrent calls to one worker.
 	defaultLeasedConnections = 16
 	maxBound                 = time.Hour
 )
 
-// DefaultLeasedEntry returns the settings that a file need not have.
+// DefaultLeasedEntry returns an entry's default settings. Required settings are
+// left empty.
 func DefaultLeasedEntry() LeasedEntry {
 	return LeasedEntry{Role: RoleLeasedEntry, Bounds: Bounds{Grace: defaultGrace}, LogLevel: slog.LevelInfo}
 }
 
-// DefaultLeasedAgent returns the settings that a file need not have.
+// DefaultLeasedAgent returns an agent's default settings. Required settings are
+// left empty.
 func DefaultLeasedAgent() LeasedAgent {
 	return LeasedAgent{
 		Role: RoleLeasedAgent, Connections: defaultLeasedConnections, Bounds: Bounds{Grace: defaultGrace}, LogLevel: slog.LevelInfo,
 	}
 }
 
-// Address is what agents and other entries are told.
+// Address returns the address that is advertised to agents and other entries.
 func (e *LeasedEntry) Address() string {
 	if e.NodesAddress != "" {
 		return e.NodesAddress
@@ -116,13 +123,13 @@
 	v.listen("callers_listen", e.CallersListen)
 	v.listen("ready_listen", e.ReadyListen)
 	v.listen("nodes_listen", e.NodesListen)
-	v.announced("nodes_address", e.NodesAddress, e.NodesListen)
+	v.advertised("nodes_address", e.NodesAddress, e.NodesListen)
 	v.optionalListen("metrics_listen", e.MetricsListen)
 	v.address("store_address", e.StoreAddress)
 	v.addresses("seeds", e.Seeds, 0)
 	v.bounds(e.Bounds)
 	v.level("log_level", e.LogLevel)
-	v.without("without", e.Without)
+	v.disabledFeatures("without", e.Without)
 	return join(v.problems)
 }
 
@@ -139,7 +146,7 @@
 	v.addresses("seeds", a.Seeds, 0)
 	v.bounds(a.Bounds)
 	v.level("log_level", a.LogLevel)
-	v.without("without", a.Without)
+	v.disabledFeatures("without", a.Without)
 	return join(v.problems)
 }
 
@@ -149,9 +156,9 @@
 	}
 }
 
-func (v *validator) without(key string, list []string) {
+func (v *validator) disabledFeatures(key string, list []string) {
 	if _, err := without.Parse(list); err != nil {
-		v.wrong(key, strings.Join(list, ", "), "names of "+strings.Join(without.Names(), ", "))
+		v.addWrongValue(key, strings.Join(list, ", "), "any of "+strings.Join(without.Names(), ", "))
 	}
 }
 
@@ -161,6 +168,6 @@
 	v.duration("bounds.stop", b.Stop, 0, maxBound)
 	v.duration("bounds.grace", b.Grace, time.Second, maxBound)
 	if b.RemoteFactor < 0 {
-		v.wrong("bounds.remote_factor", "negative", "zero or more")
+		v.addWrongValue("bounds.remote_factor", "negative", "zero or more")
 	}
 }
--- a/node/settings/leased_test.go
+++ b/node/settings/leased_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// An operator mistypes a key or a figure. The process must not start with a default
-// in its place: the message names file, line and key.
+// A mistyped key or value must not silently be replaced by the default. It is
+// rejected with a message that contains the file, line and key.
 func TestWrongLeasedSettings(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"unknown key":  {`"ready_listen"`, `"raedy_listen"`, `:3: key "raedy_listen"`},
--- a/node/settings/load.go
+++ b/node/settings/load.go
@@ -9,45 +9,49 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxFileBytes bounds a settings file.
+// MaxFileBytes is the maximum size of a settings file.
 const MaxFileBytes = 1 << 20
 
-// LoadEntry reads and checks the settings of an entry.
+// LoadEntry reads and validates the settings of an entry.
 func LoadEntry(path string) (*Entry, error) { return load(path, RoleEntry, DefaultEntry()) }
 
-// LoadAgent reads and checks the settings of an agent.
+// LoadAgent reads and validates the settings of an agent.
 func LoadAgent(path string) (*Agent, error) { return load(path, RoleAgent, DefaultAgent()) }
 
-// LoadLeasedEntry reads and checks the settings of an entry for leased workers.
+// LoadLeasedEntry reads and validates the settings of an entry for workers with
+// leases.
 func LoadLeasedEntry(path string) (*LeasedEntry, error) {
 	return load(path, RoleLeasedEntry, DefaultLeasedEntry())
 }
 
-// LoadLeasedAgent reads and checks the settings of an agent beside a leased worker.
+// LoadLeasedAgent reads and validates the settings of an agent beside a worker
+// with leases.
 func LoadLeasedAgent(path string) (*LeasedAgent, error) {
 	return load(path, RoleLeasedAgent, DefaultLeasedAgent())
 }
 
-// checked is a pointer to the settings of one role.
-type checked[T any] interface {
+// validatable is the constraint of a pointer to the settings of one role.
+type validatable[T any] interface {
 	*T
 	validate(from source) error
 }
 
-// load reads a file of one role over its defaults.
-func load[T any, P checked[T]](path string, role Role, defaults T) (*T, error) {
-	text, err := read(path)
+// load reads the file of a process with the given role. Keys that the file omits
+// keep the values of defaults.
+func load[T any, P validatable[T]](path string, role Role, defaults T) (*T, error) {
+	text, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := wantRole(path, text, role); err != nil {
+	if err := checkRole(path, text, role); err != nil {
 		return nil, err
 	}
 	return parse[T, P](path, text, defaults)
 }
 
-// parse reads text over the defaults and checks the whole.
-func parse[T any, P checked[T]](file string, text []byte, defaults T) (*T, error) {
+// parse decodes text on top of the defaults and validates the result. The file
+// name is used in messages only.
+func parse[T any, P validatable[T]](file string, text []byte, defaults T) (*T, error) {
 	d, err := decode(file, text, reflect.ValueOf(&defaults).Elem())
 	if err != nil {
 		return nil, err
@@ -58,10 +62,10 @@
 	return &defaults, nil
 }
 
-// Check reads a file of either role, checks it with the TLS files that it
-// names, and returns its role.
+// Check reads and validates a file of any role, including the TLS files that it
+// refers to, and returns its role.
 func Check(path string) (Role, error) {
-	text, err := read(path)
+	text, err := readFile(path)
 	if err != nil {
 		return "", err
 	}
@@ -100,7 +104,7 @@
 	return join(problems)
 }
 
-func read(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, Unreadable.Wrap(err, "settings")
@@ -115,35 +119,37 @@
 	return text, nil
 }
 
-// decode fills target. With wrong keys, ranges are not checked: the value that
-// stands under a misspelt key would be reported as missing as well.
+// decode sets the fields of target from text. If any key or value can't be
+// decoded, it returns an error before ranges are validated; otherwise a misspelt
+// key would be reported a second time as missing.
 func decode(file string, text []byte, target reflect.Value) (*decoder, error) {
 	d := newDecoder(file, text)
 	object, err := d.parse()
 	if err != nil {
 		return nil, err
 	}
-	d.object(object, "", target)
+	d.decodeObject(object, "", target)
 	if len(d.problems) > 0 {
 		return nil, join(d.problems)
 	}
 	return d, nil
 }
 
-// wantRole refuses a file of the other role, whose keys would all seem unknown.
-func wantRole(file string, text []byte, want Role) error {
+// checkRole rejects a file of another role with a single error; otherwise each
+// of the keys specific to that role would be reported as unknown.
+func checkRole(file string, text []byte, want Role) error {
 	_, err := findRole(file, text, fmt.Sprintf("%q", want), want)
 	return err
 }
 
-// roleOf finds the role of a file whose other keys may be wrong.
+// roleOf returns the role of a file. The other keys need not be valid.
 func roleOf(file string, text []byte) (Role, error) {
 	return findRole(file, text, `"entry", "agent", "leased-entry" or "leased-agent"`,
 		RoleEntry, RoleAgent, RoleLeasedEntry, RoleLeasedAgent)
 }
 
-// findRole returns the file's role if it is one of known, and otherwise an error
-// that says what is wanted.
+// findRole returns the file's role if it is one of known. Otherwise it returns
+// an error that lists the allowed roles.
 func findRole(file string, text []byte, wanted string, known ...Role) (Role, error) {
 	d := newDecoder(file, text)
 	object, err := d.parse()
@@ -160,7 +166,7 @@
 			return Role(literal.String()), nil
 		}
 		d.source.lines["role"] = d.line(member.Name.StartOffset)
-		d.wrong("role", &member.Value, wanted)
+		d.addWrongValue("role", &member.Value, wanted)
 		return "", join(d.problems)
 	}
 	return "", MissingKey.New("%s: key \"role\" is missing; want %s", file, wanted)
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -7,16 +7,16 @@
 	"github.com/papayahoist/papayahoist/dispatch/preset"
 )
 
-// Role says which process a file is for.
+// Role is the kind of process that a settings file configures.
 type Role string
 
-// Roles of a process.
+// Roles of processes for bare endpoints.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
 )
 
-// Formats of log lines.
+// Log formats.
 const (
 	LogJSON = "json"
 	LogText = "text"
@@ -36,90 +36,92 @@
 	MaxMemoryBytes      = 64 << 40
 )
 
-// Entry is the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	// Role is RoleEntry.
 	Role Role `json:"role"`
-	// Name is the process's name for people: time line, status, logs.
+	// Name identifies the process to operators, in time lines, status and logs.
 	Name string `json:"name"`
-	// FailureDomain is the one the process runs in.
+	// FailureDomain is the failure domain that the process runs in.
 	FailureDomain string `json:"failure_domain"`
 
-	// CallersListen, NodesListen and OperatorsListen are the "ip:port" each
-	// port is bound to; port 0 lets the kernel choose one.
+	// CallersListen, NodesListen and OperatorsListen are the "ip:port" addresses
+	// to bind; with port 0 the kernel chooses a port.
 	CallersListen   string `json:"callers_listen"`
 	NodesListen     string `json:"nodes_listen"`
 	OperatorsListen string `json:"operators_listen"`
-	// CallersAddress and NodesAddress are where others reach those ports.
-	// Empty: the bound address.
+	// CallersAddress and NodesAddress are the addresses advertised for these
+	// ports. If empty, the bound address is advertised.
 	CallersAddress string `json:"callers_address"`
 	NodesAddress   string `json:"nodes_address"`
 
-	// StoreAddresses are those of the platform's key-value service.
+	// StoreAddresses are the addresses of the platform's key-value store.
 	StoreAddresses []string `json:"store_addresses"`
-	// Join are nodes' addresses of entries, or the balancer's in front of them,
-	// asked for peers and contracts when the store is down at the start.
+	// Join lists the nodes addresses of other entries, or of a load balancer in
+	// front of them. Peers and contracts are requested there if the store is
+	// unavailable at startup.
 	Join []string `json:"join"`
 
 	TLS EntryTLS `json:"tls"`
 
-	// DrainTimeout bounds a graceful stop.
+	// DrainTimeout is the maximum duration of a graceful shutdown.
 	DrainTimeout time.Duration `json:"drain_timeout"`
 	LogLevel     slog.Level    `json:"log_level"`
 	// LogFormat is LogJSON or LogText.
 	LogFormat string `json:"log_format"`
-	// Preset weighs response time against messages; the same on every process of
-	// a site. See package preset.
+	// Preset names the trade-off between response time and number of messages. It
+	// must be the same for all processes of a site; see package preset.
 	Preset string `json:"preset"`
 }
 
-// Agent is the settings of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
 	// Role is RoleAgent.
 	Role Role `json:"role"`
-	// Name is the process's name for people: time line, status, logs.
+	// Name identifies the process to operators, in time lines, status and logs.
 	Name string `json:"name"`
-	// Worker is the machine that the endpoint runs on, Rack the rack that it
-	// stands in, FailureDomain the one that both are in.
+	// Worker is the machine that the endpoint runs on, Rack is the rack of that
+	// machine, and FailureDomain is the failure domain of both.
 	Worker        string `json:"worker"`
 	Rack          string `json:"rack"`
 	FailureDomain string `json:"failure_domain"`
 
-	// NodesListen and OperatorsListen are the "ip:port" each port is bound to;
-	// port 0 lets the kernel choose one.
+	// NodesListen and OperatorsListen are the "ip:port" addresses to bind; with
+	// port 0 the kernel chooses a port.
 	NodesListen     string `json:"nodes_listen"`
 	OperatorsListen string `json:"operators_listen"`
-	// NodesAddress is where entries reach the nodes' port. Empty: the bound
-	// address.
+	// NodesAddress is the address advertised to entries. If empty, the bound
+	// address is advertised.
 	NodesAddress string `json:"nodes_address"`
 
-	// EndpointAddress is the endpoint's on this worker.
+	// EndpointAddress is the address of the endpoint on this worker.
 	EndpointAddress string `json:"endpoint_address"`
-	// Join are nodes' addresses of entries, or the balancer's in front of them.
+	// Join lists the nodes addresses of entries, or of a load balancer in front of
+	// them.
 	Join []string `json:"join"`
 
-	// Slots is how many tasks the endpoint runs at once, Connections how many
-	// connections it takes.
+	// Slots is the number of tasks that the endpoint runs concurrently, and
+	// Connections the number of connections that it accepts.
 	Slots       uint32 `json:"slots"`
 	Connections uint32 `json:"connections"`
-	// Cores and MemoryBytes are what tasks may use of the worker.
+	// Cores and MemoryBytes are the worker's resources available to tasks.
 	Cores       uint32 `json:"cores"`
 	MemoryBytes uint64 `json:"memory_bytes"`
 
 	TLS AgentTLS `json:"tls"`
 
-	// DrainTimeout bounds a graceful stop.
+	// DrainTimeout is the maximum duration of a graceful shutdown.
 	DrainTimeout time.Duration `json:"drain_timeout"`
 	LogLevel     slog.Level    `json:"log_level"`
 	// LogFormat is LogJSON or LogText.
 	LogFormat string `json:"log_format"`
-	// Preset weighs response time against messages; the same on every process of
-	// a site. See package preset.
+	// Preset names the trade-off between response time and number of messages. It
+	// must be the same for all processes of a site; see package preset.
 	Preset string `json:"preset"`
 }
 
 // EntryTLS holds the TLS files of an entry's ports. A port without files
-// speaks plain TCP.
+// uses plain TCP.
 type EntryTLS struct {
 	Callers   TLSFiles `json:"callers"`
 	Nodes     TLSFiles `json:"nodes"`
@@ -127,13 +129,13 @@
 }
 
 // AgentTLS holds the TLS files of an agent's ports. A port without files
-// speaks plain TCP.
+// uses plain TCP.
 type AgentTLS struct {
 	Nodes     TLSFiles `json:"nodes"`
 	Operators TLSFiles `json:"operators"`
 }
 
-// DefaultEntry returns an entry's settings with every default filled in.
+// DefaultEntry returns an entry's default settings. Required settings are left empty.
 func DefaultEntry() Entry {
 	return Entry{
 		Role:         RoleEntry,
@@ -144,7 +146,7 @@
 	}
 }
 
-// DefaultAgent returns an agent's settings with every default filled in.
+// DefaultAgent returns an agent's default settings. Required settings are left empty.
 func DefaultAgent() Agent {
 	return Agent{
 		Role:         RoleAgent,
--- a/node/settings/settings_test.go
+++ b/node/settings/settings_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// An operator mistypes a key or a value in one process's file. Without these
-// checks the process would start with a default in its place, and nobody would
-// notice before the limit or address that was meant is needed.
+// A mistyped key or value is rejected. Otherwise the process would start with the
+// default in its place, which goes unnoticed until the intended limit or address
+// is needed.
 func TestCheckReports(t *testing.T) {
 	entry, agent := readExample(t, entryExample), readExample(t, agentExample)
 	tests := []struct {
@@ -145,8 +145,8 @@
 	}
 }
 
-// FuzzParse feeds the decoder damaged files: it must refuse them with an error
-// of this package, or return settings that pass their own validation.
+// FuzzParse feeds arbitrary text to the decoder, which must either return an
+// error of this package or settings that pass their own validation.
 func FuzzParse(f *testing.F) {
 	f.Add(readExample(f, entryExample))
 	f.Add(readExample(f, agentExample))
@@ -165,14 +165,14 @@
 	if err == nil {
 		err := validate()
 		if err != nil {
-			t.Errorf("accepted, but: %v", err)
+			t.Errorf("accepted settings fail their validation: %v", err)
 		}
 		return
 	}
 	for _, problem := range Problems(err) {
 		typed := errorx.Cast(problem)
 		if typed == nil || !namespace.IsNamespaceOf(typed.Type()) {
-			t.Errorf("error %v is none of this package's", problem)
+			t.Errorf("error %v is not of this package", problem)
 		}
 	}
 }
--- a/node/settings/tls.go
+++ b/node/settings/tls.go
@@ -6,21 +6,22 @@
 	"os"
 )
 
-// TLSFiles are the PEM files of one port.
+// TLSFiles names the PEM files of one port.
 type TLSFiles struct {
-	// Cert and Key are the process's own certificate and its private key.
+	// Cert and Key are the certificate of the process and its private key.
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// CA signs the certificates of peers. With it, a server asks every client
-	// for a certificate.
+	// CA holds the authorities that peers' certificates are verified against. If
+	// set, a server requires a certificate of every client.
 	CA string `json:"ca"`
 }
 
-// Enabled says whether the port speaks TLS.
+// Enabled reports whether the port uses TLS.
 func (f TLSFiles) Enabled() bool { return f != TLSFiles{} }
 
-// Server returns the port's configuration, nil when TLS is off. It serves to
-// dial peers with the same files too. Errors are of type Unreadable or Malformed.
+// Server returns the TLS configuration to serve the port, or nil if TLS is off.
+// The configuration can also be used to dial peers with the same files. Errors are
+// of type Unreadable or Malformed.
 func (f TLSFiles) Server() (*tls.Config, error) {
 	if !f.Enabled() {
 		return nil, nil
@@ -39,8 +40,8 @@
 	return config, nil
 }
 
-// Client returns the configuration to dial a port, nil when TLS is off. The
-// certificate may be left out for ports that ask for none. Errors are of type
+// Client returns the TLS configuration to dial a port, or nil if TLS is off. The
+// certificate may be omitted for ports that require none. Errors are of type
 // Unreadable or Malformed.
 func (f TLSFiles) Client() (*tls.Config, error) {
 	if !f.Enabled() {
--- a/node/settings/tls_test.go
+++ b/node/settings/tls_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// selfSigned writes a certificate for 127.0.0.1 that is its own CA.
+// selfSigned writes a self-signed certificate for 127.0.0.1 that is also the CA.
 func selfSigned(t *testing.T) TLSFiles {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -49,8 +49,8 @@
 	return TLSFiles{Cert: cert, Key: write("key.pem", "PRIVATE KEY", private), CA: cert}
 }
 
-// Somebody who has no certificate of the CA dials a port that has one. The port
-// must not talk to them, and must talk to those who have it.
+// A port with a CA must reject clients without a certificate of that CA, and
+// accept those that have one.
 func TestTLSIsMutual(t *testing.T) {
 	files := selfSigned(t)
 	config, err := files.Server()
--- a/node/settings/validate.go
+++ b/node/settings/validate.go
@@ -25,11 +25,11 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Validate checks settings that were built in code. Problems are of type
+// Validate validates settings that were constructed in code. Errors are of type
 // MissingKey or WrongValue.
 func (e *Entry) Validate() error { return e.validate(source{}) }
 
-// Validate checks settings that were built in code. Problems are of type
+// Validate validates settings that were constructed in code. Errors are of type
 // MissingKey or WrongValue.
 func (a *Agent) Validate() error { return a.validate(source{}) }
 
@@ -41,8 +41,8 @@
 	v.listen("callers_listen", e.CallersListen)
 	v.listen("nodes_listen", e.NodesListen)
 	v.listen("operators_listen", e.OperatorsListen)
-	v.announced("callers_address", e.CallersAddress, e.CallersListen)
-	v.announced("nodes_address", e.NodesAddress, e.NodesListen)
+	v.advertised("callers_address", e.CallersAddress, e.CallersListen)
+	v.advertised("nodes_address", e.NodesAddress, e.NodesListen)
 	v.addresses("store_addresses", e.StoreAddresses, 1)
 	v.addresses("join", e.Join, 0)
 	v.tls("tls.callers", e.TLS.Callers)
@@ -64,7 +64,7 @@
 	v.text("failure_domain", a.FailureDomain)
 	v.listen("nodes_listen", a.NodesListen)
 	v.listen("operators_listen", a.OperatorsListen)
-	v.announced("nodes_address", a.NodesAddress, a.NodesListen)
+	v.advertised("nodes_address", a.NodesAddress, a.NodesListen)
 	v.address("endpoint_address", a.EndpointAddress)
 	v.addresses("join", a.Join, 1)
 	v.number("slots", uint64(a.Slots), 1, MaxSlots)
@@ -80,75 +80,75 @@
 	return join(v.problems)
 }
 
-// validator collects what is out of range.
+// validator collects the problems of a settings struct.
 type validator struct {
 	source   source
 	problems []error
 }
 
-func (v *validator) wrong(key, value, allowed string) {
+func (v *validator) addWrongValue(key, value, allowed string) {
 	v.problems = append(v.problems, WrongValue.New("%skey %q is %s; allowed: %s",
-		v.source.at(key), key, value, allowed))
+		v.source.position(key), key, value, allowed))
 }
 
-// present reports an empty value: as missing, or as wrong where the file has
-// the key.
-func (v *validator) present(key string, empty bool, allowed string) bool {
+// required records an empty value as missing, or as a wrong value if the file
+// contains the key. It reports whether the value is present.
+func (v *validator) required(key string, empty bool, allowed string) bool {
 	switch {
 	case !empty:
 		return true
 	case v.source.lines[key] != 0:
-		v.wrong(key, "empty or zero", allowed)
+		v.addWrongValue(key, "empty or zero", allowed)
 	default:
 		v.problems = append(v.problems, MissingKey.New("%skey %q is missing; allowed: %s",
-			v.source.at(key), key, allowed))
+			v.source.position(key), key, allowed))
 	}
 	return false
 }
 
 func (v *validator) name(key, value string) {
-	if !v.present(key, value == "", allowedName) {
+	if !v.required(key, value == "", allowedName) {
 		return
 	}
 	if len(value) > maxNameLength || !namePattern.MatchString(value) {
-		v.wrong(key, quote(value), allowedName)
+		v.addWrongValue(key, quote(value), allowedName)
 	}
 }
 
 func (v *validator) text(key, value string) {
-	if !v.present(key, value == "", allowedDomain) {
+	if !v.required(key, value == "", allowedDomain) {
 		return
 	}
-	hidden := func(r rune) bool { return !unicode.IsPrint(r) }
-	if len(value) > maxNameLength || !utf8.ValidString(value) || slices.ContainsFunc([]rune(value), hidden) {
-		v.wrong(key, quote(value), allowedDomain)
+	unprintable := func(r rune) bool { return !unicode.IsPrint(r) }
+	if len(value) > maxNameLength || !utf8.ValidString(value) || slices.ContainsFunc([]rune(value), unprintable) {
+		v.addWrongValue(key, quote(value), allowedDomain)
 	}
 }
 
 func (v *validator) listen(key, value string) {
-	if !v.present(key, value == "", allowedListen) {
+	if !v.required(key, value == "", allowedListen) {
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		v.wrong(key, quote(value), allowedListen)
+		v.addWrongValue(key, quote(value), allowedListen)
 	}
 }
 
-// address checks one that is dialled.
+// address checks an address that is dialed.
 func (v *validator) address(key, value string) {
-	if !v.present(key, value == "", allowedAddress) {
+	if !v.required(key, value == "", allowedAddress) {
 		return
 	}
 	parsed, err := netip.ParseAddrPort(value)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
-		v.wrong(key, quote(value), allowedAddress)
+		v.addWrongValue(key, quote(value), allowedAddress)
 	}
 }
 
-// announced checks the address that others are told. The bound one serves,
-// unless it is bound to every interface: peers that dial 0.0.0.0 reach
-// themselves, and the process looks dead to all of them.
-func (v *validator) announced(key, value, listen string) {
+// advertised checks the address that is advertised to others. It may be empty
+// unless the port is bound to all interfaces: peers that dial 0.0.0.0 reach
+// themselves, and consider this process dead.
+func (v *validator) advertised(key, value, listen string) {
 	if value != "" {
 		v.address(key, value)
 		return
@@ -157,48 +157,48 @@
 	if err == nil && bound.Addr().IsUnspecified() {
 		v.problems = append(v.problems, MissingKey.New(
 			"%skey %q is missing, and the port is bound to %s; allowed: %s",
-			v.source.at(key), key, bound.Addr(), allowedAddress))
+			v.source.position(key), key, bound.Addr(), allowedAddress))
 	}
 }
 
-func (v *validator) addresses(key string, values []string, least int) {
-	allowed := fmt.Sprintf("%d to %d of %s, each once", least, maxAddresses, allowedAddress)
-	if least > 0 && !v.present(key, len(values) == 0, allowed) {
+func (v *validator) addresses(key string, values []string, minimum int) {
+	allowed := fmt.Sprintf("%d to %d of %s, each once", minimum, maxAddresses, allowedAddress)
+	if minimum > 0 && !v.required(key, len(values) == 0, allowed) {
 		return
 	}
 	if len(values) > maxAddresses {
-		v.wrong(key, fmt.Sprintf("%d addresses", len(values)), allowed)
+		v.addWrongValue(key, fmt.Sprintf("%d addresses", len(values)), allowed)
 		return
 	}
 	for i, value := range values {
 		parsed, err := netip.ParseAddrPort(value)
-		bad := err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified()
-		if bad || slices.Contains(values[:i], value) {
-			v.wrong(key, quote(value), allowed)
+		invalid := err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified()
+		if invalid || slices.Contains(values[:i], value) {
+			v.addWrongValue(key, quote(value), allowed)
 		}
 	}
 }
 
-func (v *validator) number(key string, value, least, most uint64) {
-	allowed := fmt.Sprintf("%d to %d", least, most)
-	if !v.present(key, value == 0, allowed) {
+func (v *validator) number(key string, value, minimum, maximum uint64) {
+	allowed := fmt.Sprintf("%d to %d", minimum, maximum)
+	if !v.required(key, value == 0, allowed) {
 		return
 	}
-	if value < least || value > most {
-		v.wrong(key, fmt.Sprint(value), allowed)
+	if value < minimum || value > maximum {
+		v.addWrongValue(key, fmt.Sprint(value), allowed)
 	}
 }
 
-func (v *validator) duration(key string, value, least, most time.Duration) {
-	if value < least || value > most {
-		v.wrong(key, quote(value.String()), fmt.Sprintf("%q to %q", least, most))
+func (v *validator) duration(key string, value, minimum, maximum time.Duration) {
+	if value < minimum || value > maximum {
+		v.addWrongValue(key, quote(value.String()), fmt.Sprintf("%q to %q", minimum, maximum))
 	}
 }
 
 func (v *validator) level(key string, value slog.Level) {
 	levels := []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}
 	if !slices.Contains(levels, value) {
-		v.wrong(key, quote(value.String()), allowedLevels)
+		v.addWrongValue(key, quote(value.String()), allowedLevels)
 	}
 }
 
@@ -206,24 +206,25 @@
 	if slices.Contains(allowed, value) {
 		return
 	}
-	v.wrong(key, quote(value), fmt.Sprintf("%q", allowed))
+	v.addWrongValue(key, quote(value), fmt.Sprintf("%q", allowed))
 }
 
-// tls checks a port's files: a certificate without its key, or a CA alone,
-// would leave the port in plain text while its operator believes otherwise.
+// tls checks the files of one port. A certificate without its key, or a CA alone,
+// must not result in a plain-text port that its operator believes to be
+// encrypted.
 func (v *validator) tls(key string, files TLSFiles) {
 	if !files.Enabled() {
 		return
 	}
-	const allowed = "the PEM file's path, as the port's other TLS files are given"
-	v.present(key+".cert", files.Cert == "", allowed)
-	v.present(key+".key", files.Key == "", allowed)
+	const allowed = "the path of a PEM file; cert and key are required if any TLS file of the port is set"
+	v.required(key+".cert", files.Cert == "", allowed)
+	v.required(key+".key", files.Key == "", allowed)
 }
 
 func quote(s string) string {
-	const most = 80
-	if len(s) > most {
-		return fmt.Sprintf("%q...", s[:most])
+	const maxLength = 80
+	if len(s) > maxLength {
+		return fmt.Sprintf("%q...", s[:maxLength])
 	}
 	return fmt.Sprintf("%q", s)
 }
