--- a/node/config/doc.go
+++ b/node/config/doc.go
@@ -1,3 +1,3 @@
-// Package config changes contracts in the platform's store (Editor) and holds
-// those in force in a process (Holder).
+// Package config changes contracts in the platform's store (Editor) and holds the
+// contracts in force in a process (Holder).
 package config
--- a/node/config/editor.go
+++ b/node/config/editor.go
@@ -12,13 +12,13 @@
 	"github.com/papayahoist/papayahoist/platform/store"
 )
 
-// EditorOptions configure an Editor. The zero value of a field stands for its
-// default.
+// EditorOptions configures an Editor. Zero fields select the defaults.
 type EditorOptions struct {
-	// Retry bounds the attempts at one change: those lost to other operators,
-	// and those whose answer was lost. Default 6 attempts, 100 ms to 2 s apart.
+	// Retry limits the attempts to make one change. An attempt fails on a conflict
+	// with another operator or when the store's answer is lost. The default is 6
+	// attempts, 100 ms to 2 s apart.
 	Retry retry.Options
-	// Random gives numbers in [0, 1). Default: math/rand/v2.
+	// Random returns numbers in [0, 1). The default is that of math/rand/v2.
 	Random func() float64
 }
 
@@ -30,7 +30,7 @@
 	random func() float64
 }
 
-// NewEditor returns an editor.
+// NewEditor returns an editor that uses client.
 func NewEditor(client store.Client, o EditorOptions) *Editor {
 	if o.Retry == (retry.Options{}) {
 		o.Retry = retry.Options{Attempts: 6, Base: 100 * time.Millisecond, Max: 2 * time.Second, Burst: 10}
@@ -41,42 +41,43 @@
 	return &Editor{store: client, retry: retry.New(o.Retry), random: o.Random}
 }
 
-// Apply makes a change and returns the revision that it made. A change that was
-// made before under the same id is not made again. It fails with
-// contract.ErrInvalid, contract.ErrConflict, contract.ErrMalformed,
-// ErrUnavailable, ErrRefused or ErrNotKnown; but for the last nothing was changed.
+// Apply makes a change and returns the revision that it created. It is idempotent:
+// a change that was applied before with the same id is not applied again. Errors
+// are of type contract.ErrInvalid, contract.ErrConflict, contract.ErrMalformed,
+// ErrUnavailable, ErrRefused or ErrNotKnown. Nothing was changed unless the error
+// is ErrNotKnown.
 func (e *Editor) Apply(ctx context.Context, change contract.Change) (uint64, error) {
 	a := attempt{editor: e, change: change}
-	for made := 1; ; made++ {
+	for attempts := 1; ; attempts++ {
 		revision, err := a.try(ctx)
-		if err == nil || !a.again(err) {
-			return revision, a.final(err)
+		if err == nil || !a.retryable(err) {
+			return revision, a.finalError(err)
 		}
-		wait, ok := e.retry.Next(time.Now(), made, e.random())
+		wait, ok := e.retry.Next(time.Now(), attempts, e.random())
 		if !ok || !sleep(ctx, wait) {
-			return 0, a.final(err)
+			return 0, a.finalError(err)
 		}
 	}
 }
 
-// attempt is one change on its way into the store.
+// attempt is the state of one Apply call.
 type attempt struct {
 	editor *Editor
 	change contract.Change
-	// pending is set while a write has been sent whose outcome is not known.
+	// pending is set while the outcome of a write is unknown.
 	pending *Pending
 }
 
-// try reads the record, settles a write that is pending, and writes. To write
-// the same change on the same revision once more is safe: of all such writes the
-// compare-and-swap lets one through at most.
+// try reads the record, resolves a pending write, and writes the change. Writing
+// the same change to the same revision again is safe, as the compare-and-swap
+// succeeds for at most one of these writes.
 func (a *attempt) try(ctx context.Context) (uint64, error) {
-	held, err := a.editor.record(ctx, a.change.Contract.GetName())
+	stored, err := a.editor.record(ctx, a.change.Contract.GetName())
 	if err != nil {
 		return 0, err
 	}
 	if p := a.pending; p != nil {
-		resolution, revision := contract.Resolve(held, p.ChangeID, p.Prev)
+		resolution, revision := contract.Resolve(stored, p.ChangeID, p.Prev)
 		switch {
 		case resolution == contract.Applied:
 			a.pending = nil
@@ -84,10 +85,10 @@
 		case resolution == contract.NotApplied:
 			a.pending = nil
 		case revision != p.Prev:
-			return 0, notKnown(*p, nil)
+			return 0, newNotKnown(*p, nil)
 		}
 	}
-	plan, err := contract.Make(a.change, held)
+	plan, err := contract.Make(a.change, stored)
 	if err != nil || plan.Applied > 0 {
 		return plan.Applied, err
 	}
@@ -107,21 +108,22 @@
 	return uint64(revision), err
 }
 
-// again reports whether another try may help.
-func (a *attempt) again(err error) bool {
+// retryable reports whether another attempt may succeed.
+func (a *attempt) retryable(err error) bool {
 	return store.IsConflict(err) || store.IsUnknown(err) || store.IsUnavailable(err)
 }
 
-// final turns the store's errors. A write that was never settled outweighs
-// whatever failed after it.
-func (a *attempt) final(err error) error {
+// finalError translates errors of the store. An unresolved write takes precedence
+// over any later error.
+func (a *attempt) finalError(err error) error {
 	if err != nil && a.pending != nil && !errorx.IsOfType(err, ErrNotKnown) {
-		return notKnown(*a.pending, err)
+		return newNotKnown(*a.pending, err)
 	}
-	return turned(err)
+	return translateError(err)
 }
 
-func turned(err error) error {
+// translateError maps errors of the store to those of this package.
+func translateError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -133,6 +135,7 @@
 	return err
 }
 
+// sleep waits and reports whether it did so without ctx being done.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -144,7 +147,8 @@
 	}
 }
 
-// record reads a contract's record, nil for none. Its errors are the store's.
+// record reads the record of a contract, or nil if there is none. Errors are those
+// of the store and of contract.Decode.
 func (e *Editor) record(ctx context.Context, name string) (*pb.ContractRecord, error) {
 	item, err := e.store.Get(ctx, contract.Key(name))
 	if store.IsNotFound(err) {
@@ -156,97 +160,99 @@
 	return contract.Decode(item.Key, item.Value, uint64(item.Revision))
 }
 
-// Get returns a contract; contract.ErrNotFound when there is none or it was
-// deleted.
+// Get returns a contract. The error is of type contract.ErrNotFound if the contract
+// does not exist or was deleted.
 func (e *Editor) Get(ctx context.Context, name string) (*pb.Contract, error) {
-	held, err := e.record(ctx, name)
+	stored, err := e.record(ctx, name)
 	if err != nil {
-		return nil, turned(err)
+		return nil, translateError(err)
 	}
-	if held == nil || held.Contract.Deleted {
+	if stored == nil || stored.Contract.Deleted {
 		return nil, contract.ErrNotFound.New("there is no contract %q", name)
 	}
-	return held.Contract, nil
+	return stored.Contract, nil
 }
 
-// List returns all contracts by name, without the deleted, and the store's
-// revision at which they were read. Records that can't be read are in the second
-// list, as errors.
+// List returns all contracts that are not deleted, sorted by name, and the store
+// revision at which they were read. The second result has an error for each record
+// that can't be decoded.
 func (e *Editor) List(ctx context.Context) ([]*pb.Contract, []error, uint64, error) {
 	items, at, err := e.store.List(ctx, contract.Prefix)
 	if err != nil {
-		return nil, nil, 0, turned(err)
+		return nil, nil, 0, translateError(err)
 	}
 	var contracts []*pb.Contract
-	var broken []error
+	var invalid []error
 	for _, item := range items {
-		held, err := contract.Decode(item.Key, item.Value, uint64(item.Revision))
+		stored, err := contract.Decode(item.Key, item.Value, uint64(item.Revision))
 		switch {
 		case err != nil:
-			broken = append(broken, err)
-		case !held.Contract.Deleted:
-			contracts = append(contracts, held.Contract)
+			invalid = append(invalid, err)
+		case !stored.Contract.Deleted:
+			contracts = append(contracts, stored.Contract)
 		}
 	}
-	return contracts, broken, uint64(at), nil
+	return contracts, invalid, uint64(at), nil
 }
 
-// Diff lists the terms in which the wanted contract differs from the one in the
-// store, where a contract that does not exist has none.
+// Diff returns the fields in which wanted differs from the contract in the store. A
+// contract that does not exist is treated as empty.
 func (e *Editor) Diff(ctx context.Context, wanted *pb.Contract) ([]contract.FieldChange, error) {
 	wanted = contract.WithDefaults(wanted)
 	if err := contract.Validate(wanted); err != nil {
 		return nil, err
 	}
-	held, err := e.record(ctx, wanted.Name)
+	stored, err := e.record(ctx, wanted.Name)
 	if err != nil {
-		return nil, turned(err)
+		return nil, translateError(err)
 	}
-	current := held.GetContract()
+	current := stored.GetContract()
 	if current == nil {
 		current = &pb.Contract{}
 	}
 	return contract.Diff(current, wanted), nil
 }
 
-// History returns a contract's revisions that are kept, newest first.
+// History returns the retained revisions of a contract, newest first.
 func (e *Editor) History(ctx context.Context, name string) ([]*pb.Contract, error) {
-	held, err := e.record(ctx, name)
+	stored, err := e.record(ctx, name)
 	if err != nil {
-		return nil, turned(err)
+		return nil, translateError(err)
 	}
-	if held == nil {
+	if stored == nil {
 		return nil, contract.ErrNotFound.New("there is no contract %q", name)
 	}
-	return append([]*pb.Contract{held.Contract}, held.History...), nil
+	return append([]*pb.Contract{stored.Contract}, stored.History...), nil
 }
 
-// Rollback brings back the terms of an earlier revision as a new one.
+// Rollback restores the terms of an earlier revision by creating a new one. It is
+// idempotent in id, as Apply.
 func (e *Editor) Rollback(ctx context.Context, name string, revision uint64, id, by string, at time.Time) (uint64, error) {
-	held, err := e.record(ctx, name)
+	stored, err := e.record(ctx, name)
 	if err != nil {
-		return 0, turned(err)
+		return 0, translateError(err)
 	}
-	if made := contract.Find(held, id); made > 0 {
-		return made, nil
+	if applied := contract.Find(stored, id); applied > 0 {
+		return applied, nil
 	}
-	if held == nil {
+	if stored == nil {
 		return 0, contract.ErrNotFound.New("there is no contract %q", name)
 	}
-	wanted, err := contract.Rollback(held, revision)
+	wanted, err := contract.Rollback(stored, revision)
 	if err != nil {
 		return 0, err
 	}
 	return e.Apply(ctx, contract.Change{Contract: wanted, ID: id, By: by, At: at})
 }
 
-// Resolve asks what became of a change whose outcome was not known. NotKnown
-// says that it has not been applied so far.
+// Resolve determines the outcome of a pending change. The result
+// contract.NotKnown means that the change is not found applied so far and that it
+// can't be ruled out; see contract.Resolve.
 func (e *Editor) Resolve(ctx context.Context, p Pending) (contract.Resolution, uint64, error) {
-	held, err := e.record(ctx, p.Contract)
+	stored, err := e.record(ctx, p.Contract)
 	if err != nil {
-		return contract.NotKnown, 0, turned(err)
+		return contract.NotKnown, 0, translateError(err)
 	}
-	resolution, revision := contract.Resolve(held, p.ChangeID, p.Prev)
+	resolution, revision := contract.Resolve(stored, p.ChangeID, p.Prev)
 	return resolution, revision, nil
 }
--- a/node/config/editor_test.go
+++ b/node/config/editor_test.go
@@ -30,21 +30,21 @@
 	}
 }
 
-// The store fails while an operator changes a contract. The operator must hear
-// the truth: "applied" only if it was, an error other than "not known" only if it
-// was not, and whatever happened, the change is made once.
-func TestApplyThroughFaults(t *testing.T) {
+// The store fails while an operator changes a contract. The result must be
+// accurate: success only if the change was applied, an error other than
+// ErrNotKnown only if it was not. In no case is the change applied twice.
+func TestApplyDuringStoreFaults(t *testing.T) {
 	tests := []struct {
-		name    string
-		faults  kv.Faults
-		mended  time.Duration // zero: at once after the answer
-		err     *errorx.Type
-		applied bool
+		name     string
+		faults   kv.Faults
+		recovery time.Duration // when the store recovers; zero: after Apply returns
+		err      *errorx.Type
+		applied  bool
 	}{
 		{name: "none", applied: true},
 		{name: "answer lost", faults: kv.Faults{LoseAnswers: 1}, applied: true},
 		{name: "two answers lost", faults: kv.Faults{LoseAnswers: 2}, applied: true},
-		{name: "short outage", faults: kv.Faults{Outage: true}, mended: 700 * time.Millisecond, applied: true},
+		{name: "short outage", faults: kv.Faults{Outage: true}, recovery: 700 * time.Millisecond, applied: true},
 		{name: "long outage", faults: kv.Faults{Outage: true}, err: config.ErrUnavailable},
 		{name: "slow", faults: kv.Faults{Delay: 2 * time.Second}, applied: true},
 		{name: "too slow", faults: kv.Faults{Delay: time.Minute}, err: config.ErrUnavailable},
@@ -59,8 +59,8 @@
 					t.Fatal(err)
 				}
 				server.SetFaults(tt.faults)
-				if tt.mended > 0 {
-					time.AfterFunc(tt.mended, func() { server.SetFaults(kv.Faults{}) })
+				if tt.recovery > 0 {
+					time.AfterFunc(tt.recovery, func() { server.SetFaults(kv.Faults{}) })
 				}
 				revision, err := e.Apply(t.Context(), change("c2", first, 2))
 				if (tt.err == nil) != (err == nil) || (tt.err != nil && !errorx.IsOfType(err, tt.err)) {
@@ -80,10 +80,10 @@
 	}
 }
 
-// The write takes effect, its answer is lost, and then the store is gone for
-// good. "Not known" is all that can be said. Asked again later with the same id,
-// the operator hears that the change was applied, and it is not made twice.
-func TestNotKnownThenAskedAgain(t *testing.T) {
+// The write takes effect, its answer is lost, and the store becomes unavailable, so
+// that Apply returns ErrNotKnown. A later retry with the same id must report that
+// the change was applied, and must not apply it twice.
+func TestRetryAfterNotKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := kv.New(kv.Options{})
 		e := newEditor(server)
@@ -104,7 +104,7 @@
 			t.Fatalf("Apply: %v, pending %+v", err, pending)
 		}
 		if _, _, err := e.Resolve(t.Context(), pending); !errorx.IsOfType(err, config.ErrUnavailable) {
-			t.Errorf("Resolve in the outage: %v", err)
+			t.Errorf("Resolve during the outage: %v", err)
 		}
 		server.SetFaults(kv.Faults{})
 		resolution, at, err := e.Resolve(t.Context(), pending)
@@ -118,9 +118,9 @@
 	})
 }
 
-// Twenty operators change one contract at the same time, each its own way, and
-// answers get lost. Each must be either told that it lost, or find its change.
-func TestRacingEditors(t *testing.T) {
+// Twenty operators change one contract concurrently, each in a different way, while
+// answers are lost. Each change must either fail with a conflict or be applied.
+func TestConcurrentEditors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := kv.New(kv.Options{})
 		first, err := newEditor(server).Apply(t.Context(), change("c0", 0, 1))
@@ -156,11 +156,11 @@
 	})
 }
 
-func TestReadersOfTheEditor(t *testing.T) {
+func TestEditorReadsAndRollback(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEditor(kv.New(kv.Options{}))
 		if _, err := e.Get(t.Context(), "desk"); !errorx.IsOfType(err, contract.ErrNotFound) {
-			t.Errorf("Get of nothing: %v", err)
+			t.Errorf("Get of a missing contract: %v", err)
 		}
 		first, _ := e.Apply(t.Context(), change("c1", 0, 1))
 		second, _ := e.Apply(t.Context(), change("c2", first, 2))
@@ -174,9 +174,9 @@
 		if again, err := e.Rollback(t.Context(), "desk", first, "c3", "bob", time.Unix(200, 0)); again != third || err != nil {
 			t.Errorf("Rollback again: %d, %v", again, err)
 		}
-		got, broken, at, err := e.List(t.Context())
-		if err != nil || len(got) != 1 || len(broken) != 0 || at != third || got[0].Weight != 1 || got[0].ChangedBy != "bob" {
-			t.Errorf("List: %v, %v, %d, %v", got, broken, at, err)
+		got, invalid, at, err := e.List(t.Context())
+		if err != nil || len(got) != 1 || len(invalid) != 0 || at != third || got[0].Weight != 1 || got[0].ChangedBy != "bob" {
+			t.Errorf("List: %v, %v, %d, %v", got, invalid, at, err)
 		}
 	})
 }
--- a/node/config/errors.go
+++ b/node/config/errors.go
@@ -2,39 +2,42 @@
 
 import "github.com/joomcode/errorx"
 
-// Errors is the namespace of this package's errors. What dispatch/contract
-// decides about a change is returned as it is: its errors are for operators.
+// Errors is the namespace of this package's errors. Errors of dispatch/contract
+// are returned unchanged, as they are meant for operators.
 var Errors = errorx.NewNamespace("node.config").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// Types of errors.
+// Error types.
 var (
-	// ErrUnavailable: the store could not be reached, nothing was changed.
+	// ErrUnavailable means that the store could not be reached, or that the change
+	// kept conflicting with others. Nothing was changed.
 	ErrUnavailable = Errors.NewType("unavailable")
-	// ErrNotKnown: a change was sent, and it could not be found out whether it
-	// was applied; see PendingOf. Applying it again with the same id is safe.
+	// ErrNotKnown means that a change was sent and that it could not be determined
+	// whether it was applied; see PendingOf. Applying it again with the same id is
+	// safe.
 	ErrNotKnown = Errors.NewType("not_known")
-	// ErrRefused: the store refuses the call as it is.
+	// ErrRefused means that the store rejected the call as invalid.
 	ErrRefused = Errors.NewType("refused")
 )
 
 var pendingProperty = errorx.RegisterProperty("pending")
 
-// Pending names a change whose outcome is not known.
+// Pending identifies a change whose outcome is unknown.
 type Pending struct {
 	Contract string
 	ChangeID string
-	// Prev is the revision that the change was to replace; zero: none.
+	// Prev is the revision that the change replaces, zero for a new contract.
 	Prev uint64
 }
 
-// PendingOf returns the change that an ErrNotKnown is about.
+// PendingOf returns the change whose outcome is unknown if err is of type
+// ErrNotKnown.
 func PendingOf(err error) (Pending, bool) {
 	property, _ := errorx.ExtractProperty(err, pendingProperty)
 	pending, ok := property.(Pending)
 	return pending, ok
 }
 
-func notKnown(p Pending, cause error) error {
-	return ErrNotKnown.Wrap(cause, "change %q of contract %q to revision %d is not known to be applied; ask again with this id",
+func newNotKnown(p Pending, cause error) error {
+	return ErrNotKnown.Wrap(cause, "change %q of contract %q, based on revision %d, may or may not have been applied; retry with the same id",
 		p.ChangeID, p.Contract, p.Prev).WithProperty(pendingProperty, p)
 }
--- a/node/config/holder.go
+++ b/node/config/holder.go
@@ -8,13 +8,14 @@
 	"github.com/papayahoist/papayahoist/dispatch/contract"
 )
 
-// Holder has the contracts in force in this process. Reading takes no lock.
+// Holder holds the contracts in force in this process. It is safe for concurrent
+// use; reading takes no lock.
 type Holder struct {
 	snapshot atomic.Pointer[contract.Snapshot]
 
 	mu       sync.Mutex
 	registry *contract.Registry
-	onChange []func(newer []*pb.Contract, in *contract.Snapshot)
+	onChange []func(updated []*pb.Contract, snapshot *contract.Snapshot)
 }
 
 // NewHolder returns a holder without contracts.
@@ -24,32 +25,33 @@
 	return h
 }
 
-// Snapshot returns what is in force now.
+// Snapshot returns the contracts currently in force.
 func (h *Holder) Snapshot() *contract.Snapshot { return h.snapshot.Load() }
 
-// Contract returns a contract in force, nil for none.
+// Contract returns the contract in force with this name, or nil.
 func (h *Holder) Contract(name string) *pb.Contract { return h.Snapshot().Get(name) }
 
-// OnChange adds a function that is called with the contracts, tombstones
-// included, that have come into force, in order of their coming. It must not
-// call the holder's methods but for Snapshot and Contract.
-func (h *Holder) OnChange(f func(newer []*pb.Contract, in *contract.Snapshot)) {
+// OnChange registers a function that is called, in order, with the contracts that
+// have come into force, including tombstones. The function must not call any
+// methods of the holder other than Snapshot and Contract.
+func (h *Holder) OnChange(f func(updated []*pb.Contract, snapshot *contract.Snapshot)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.onChange = append(h.onChange, f)
 }
 
-// Apply puts in force what is newer than what is held; see contract.Registry.
+// Apply puts contracts into force that are newer than those held; see
+// contract.Registry.
 func (h *Holder) Apply(contracts []*pb.Contract, since, upTo uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	newer := h.registry.Apply(contracts, since, upTo)
+	updated := h.registry.Apply(contracts, since, upTo)
 	snapshot := h.registry.Snapshot()
 	h.snapshot.Store(snapshot)
-	if len(newer) == 0 {
+	if len(updated) == 0 {
 		return
 	}
 	for _, f := range h.onChange {
-		f(newer, snapshot)
+		f(updated, snapshot)
 	}
 }
