--- a/node/metrics/contract.go
+++ b/node/metrics/contract.go
@@ -15,38 +15,39 @@
 
 // Contract holds the series of one contract at an entry.
 type Contract struct {
-	// Offered counts the jobs that callers submitted, resubmissions excepted.
-	Offered *Tally
-	// Served counts the jobs answered completely.
-	Served *Tally
-	// Failed counts the jobs of which tasks ran and that were not completed.
+	// Offered counts the jobs submitted by callers, excluding resubmissions.
+	Offered *Counter
+	// Served counts the jobs answered with complete results.
+	Served *Counter
+	// Failed counts the jobs that ran tasks but were not completed.
 	Failed prometheus.Counter
-	// Unknown counts the jobs answered "outcome unknown".
+	// Unknown counts the jobs answered with an unknown outcome.
 	Unknown prometheus.Counter
 	// TasksStarted counts the tasks sent to agents.
-	TasksStarted *Tally
+	TasksStarted *Counter
 
-	refused map[jobs.Code]*Tally
-	ratio   prometheus.Observer
+	refused       map[jobs.Code]*Counter
+	responseRatio prometheus.Observer
 }
 
-// Tally is a counter that the process can read itself, for its status.
-type Tally struct {
+// Counter is a Prometheus counter whose value the process can also read, for its
+// status.
+type Counter struct {
 	counter prometheus.Counter
 	value   atomic.Uint64
 }
 
-// Add counts n.
-func (t *Tally) Add(n int) {
-	t.value.Add(uint64(n))
-	t.counter.Add(float64(n))
+// Add adds n to the counter.
+func (c *Counter) Add(n int) {
+	c.value.Add(uint64(n))
+	c.counter.Add(float64(n))
 }
 
-// Value returns the count since the process started.
-func (t *Tally) Value() uint64 { return t.value.Load() }
+// Value returns the current count, which starts at zero with the process.
+func (c *Counter) Value() uint64 { return c.value.Load() }
 
-// RefusedCounts returns the codes with which jobs were refused, in the order of
-// their names, and how often.
+// RefusedCounts returns the number of refused jobs by code, sorted by code. Codes
+// without refused jobs are omitted.
 func (c *Contract) RefusedCounts() []*pb.RefusedCount {
 	var counts []*pb.RefusedCount
 	for _, code := range slices.Sorted(maps.Keys(c.refused)) {
@@ -57,7 +58,7 @@
 	return counts
 }
 
-// Refused counts a job answered "not run".
+// Refused counts a job answered as not run.
 func (c *Contract) Refused(code jobs.Code) {
 	if counter, ok := c.refused[code]; ok {
 		counter.Add(1)
@@ -66,50 +67,52 @@
 	c.refused[otherCode].Add(1)
 }
 
-// Response observes a served job: the time from its arrival to its answer,
-// over ideal, the longest run time of its tasks. Jobs without a run time are
-// not observed.
+// Response records the ratio of response, the time from a job's arrival to its
+// answer, to ideal, the longest run time of its tasks. Jobs without a run time are
+// ignored.
 func (c *Contract) Response(response, ideal time.Duration) {
 	if ideal > 0 {
-		c.ratio.Observe(float64(response) / float64(ideal))
+		c.responseRatio.Observe(float64(response) / float64(ideal))
 	}
 }
 
-// ratioBuckets of response over ideal; 1 can't be beaten.
-var ratioBuckets = []float64{1.01, 1.05, 1.1, 1.2, 1.5, 2, 3, 5, 10, 30, 100}
+// responseRatioBuckets are the buckets of the ratio of response time to ideal time.
+// The ratio can't be lower than 1.
+var responseRatioBuckets = []float64{1.01, 1.05, 1.1, 1.2, 1.5, 2, 3, 5, 10, 30, 100}
 
 type contractVecs struct {
 	offered, served, failed, unknown, started, refused *prometheus.CounterVec
-	ratio                                              *prometheus.HistogramVec
+	responseRatio                                      *prometheus.HistogramVec
 }
 
 func newContractVecs(f factory) contractVecs {
 	const label = "contract"
 	return contractVecs{
-		offered: f.counterVec("jobs_offered_total", "Jobs submitted.", label),
-		served:  f.counterVec("jobs_served_total", "Jobs answered completely.", label),
-		failed:  f.counterVec("jobs_failed_total", "Jobs that ran and were not completed.", label),
-		unknown: f.counterVec("jobs_unknown_total", "Jobs answered with outcome unknown.", label),
-		started: f.counterVec("tasks_dispatched_total", "Tasks sent to agents.", label),
-		refused: f.counterVec("jobs_refused_total", "Jobs answered as not run.", label, "reason"),
-		ratio:   f.histogramVec("job_response_ratio", "Response time over ideal of served jobs.", ratioBuckets, label),
+		offered:       f.counterVec("jobs_offered_total", "Jobs submitted.", label),
+		served:        f.counterVec("jobs_served_total", "Jobs answered completely.", label),
+		failed:        f.counterVec("jobs_failed_total", "Jobs that ran and were not completed.", label),
+		unknown:       f.counterVec("jobs_unknown_total", "Jobs answered with outcome unknown.", label),
+		started:       f.counterVec("tasks_dispatched_total", "Tasks sent to agents.", label),
+		refused:       f.counterVec("jobs_refused_total", "Jobs answered as not run.", label, "reason"),
+		responseRatio: f.histogramVec("job_response_ratio", "Response time over ideal of served jobs.", responseRatioBuckets, label),
 	}
 }
 
-func (v contractVecs) resolve(name string) *Contract {
+// newContract creates the series of a contract.
+func (v contractVecs) newContract(name string) *Contract {
 	c := &Contract{
-		Offered:      &Tally{counter: v.offered.WithLabelValues(name)},
-		Served:       &Tally{counter: v.served.WithLabelValues(name)},
-		Failed:       v.failed.WithLabelValues(name),
-		Unknown:      v.unknown.WithLabelValues(name),
-		TasksStarted: &Tally{counter: v.started.WithLabelValues(name)},
-		refused:      make(map[jobs.Code]*Tally),
-		ratio:        v.ratio.WithLabelValues(name),
+		Offered:       &Counter{counter: v.offered.WithLabelValues(name)},
+		Served:        &Counter{counter: v.served.WithLabelValues(name)},
+		Failed:        v.failed.WithLabelValues(name),
+		Unknown:       v.unknown.WithLabelValues(name),
+		TasksStarted:  &Counter{counter: v.started.WithLabelValues(name)},
+		refused:       make(map[jobs.Code]*Counter),
+		responseRatio: v.responseRatio.WithLabelValues(name),
 	}
 	for _, code := range refusalCodes {
-		c.refused[code] = &Tally{counter: v.refused.WithLabelValues(name, string(code))}
+		c.refused[code] = &Counter{counter: v.refused.WithLabelValues(name, string(code))}
 	}
-	c.refused[otherCode] = &Tally{counter: v.refused.WithLabelValues(name, otherCode)}
+	c.refused[otherCode] = &Counter{counter: v.refused.WithLabelValues(name, otherCode)}
 	return c
 }
 
@@ -118,10 +121,11 @@
 	for _, vec := range []*prometheus.CounterVec{v.offered, v.served, v.failed, v.unknown, v.started, v.refused} {
 		vec.DeletePartialMatch(label)
 	}
-	v.ratio.DeletePartialMatch(label)
+	v.responseRatio.DeletePartialMatch(label)
 }
 
-// contractCache is read without locks and replaced whole by writers.
+// contractCache holds the contracts with series of their own. Readers take no lock;
+// writers replace the map.
 type contractCache struct {
 	mu     sync.Mutex
 	byName atomic.Pointer[map[string]*Contract]
@@ -134,9 +138,9 @@
 	return nil
 }
 
-// Contract returns the series of a contract of the configuration. Other names
-// share the series of OtherContract: a caller that sends made-up names must not
-// be able to fill the memory of the process and of whatever scrapes it.
+// Contract returns the series of a configured contract. All other names share the
+// series of OtherContract, so that a caller that sends made-up names can't exhaust
+// the memory of the process or of the Prometheus server.
 func (e *Entry) Contract(name string) *Contract {
 	if c, ok := e.contracts.load()[name]; ok {
 		return c
@@ -144,11 +148,12 @@
 	return e.otherContract
 }
 
-// ContractNames returns the contracts with series of their own, by name.
+// ContractNames returns the sorted names of the contracts with series of their own.
 func (e *Entry) ContractNames() []string { return slices.Sorted(maps.Keys(e.contracts.load())) }
 
-// AddContract resolves the series of a contract that came into force; without
-// effect for one that has them.
+// AddContract creates the series of a contract that came into force. It does
+// nothing if they exist, if there are already MaxContracts contracts, or if name is
+// OtherContract.
 func (e *Entry) AddContract(name string) {
 	if _, ok := e.contracts.load()[name]; ok {
 		return
@@ -161,11 +166,11 @@
 	}
 	next := make(map[string]*Contract, len(old)+1)
 	maps.Copy(next, old)
-	next[name] = e.contractVecs.resolve(name)
+	next[name] = e.contractVecs.newContract(name)
 	e.contracts.byName.Store(&next)
 }
 
-// RemoveContract drops the series of a contract that was deleted.
+// RemoveContract removes the series of a deleted contract.
 func (e *Entry) RemoveContract(name string) {
 	e.contracts.mu.Lock()
 	defer e.contracts.mu.Unlock()
--- a/node/metrics/doc.go
+++ b/node/metrics/doc.go
@@ -1,11 +1,13 @@
-// Package metrics holds the collectors of a process, by the conventions of
-// client_golang: namespace papayahoist, base units, counters ending in _total.
+// Package metrics defines the Prometheus collectors of a process. Names follow the
+// Prometheus conventions: namespace papayahoist, base units, counters ending in
+// _total.
 //
-// Label sets are bounded. Contracts are those of the configuration, at most
-// MaxContracts of them, and never a name that a caller sent; workers and jobs
-// are no labels (the time line has them). An entry with 41 contracts exports
-// under 2,000 series, an agent under 120; tests hold both bounds.
+// The number of series is bounded. Contract labels are limited to MaxContracts
+// names from the configuration and never contain a name sent by a caller. Workers
+// and jobs are not labels; they appear in the time line. An entry with 41 contracts
+// exports fewer than 2,000 series and an agent fewer than 120. Tests enforce both
+// limits.
 //
-// Series are resolved when a contract comes into force. On a request's path
-// only Inc, Add and Observe of a series that is already there are called.
+// Series are created when a contract comes into force. The request path only calls
+// Inc, Add and Observe on existing series.
 package metrics
--- a/node/metrics/factory.go
+++ b/node/metrics/factory.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// factory makes collectors in the namespace and registers them.
+// factory creates and registers collectors in the namespace.
 type factory struct{ reg prometheus.Registerer }
 
 func register[C prometheus.Collector](f factory, c C) C {
@@ -14,8 +14,8 @@
 	return register(f, prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}))
 }
 
-// counterFunc's labels are names and values in turn; they tell apart the
-// functions of one name.
+// counterFunc registers a counter that is read from value. The labels are
+// alternating names and values, and must differ between functions with one name.
 func (f factory) counterFunc(name, help string, value func() float64, labels ...string) {
 	constant := prometheus.Labels{}
 	for i := 0; i+1 < len(labels); i += 2 {
--- a/node/metrics/labels.go
+++ b/node/metrics/labels.go
@@ -8,14 +8,15 @@
 
 const namespace = "papayahoist"
 
-// MaxContracts bounds the contract label. Contracts beyond it share OtherContract.
+// MaxContracts is the maximum number of contracts with a label of their own. Others
+// share OtherContract.
 const MaxContracts = 256
 
-// OtherContract is the label of contracts beyond MaxContracts and of requests
-// that name no contract of the configuration.
+// OtherContract is the label of contracts beyond MaxContracts and of requests that
+// don't name a configured contract.
 const OtherContract = "other"
 
-// refusalCodes are the codes with which a job can end as "not run".
+// refusalCodes are the codes of jobs that are answered as not run.
 var refusalCodes = []jobs.Code{
 	jobs.CodeBadRequest, jobs.CodeUnauthorized, jobs.CodeConflict, jobs.CodeTooLarge,
 	jobs.CodeUnknownContract, jobs.CodeRateLimited, jobs.CodeQueueFull, jobs.CodeOverloaded,
@@ -23,25 +24,25 @@
 	jobs.CodeHomeLost, jobs.CodeLeaving, jobs.CodeUnavailable,
 }
 
-// otherCode is the label of codes that are not listed.
+// otherCode is the label of codes not in refusalCodes.
 const otherCode = "other"
 
-// Message is the kind of a message between processes. A link frame has the
-// kind of the first of its contents in the order of the constants.
+// Message is the kind of a message between processes. A link frame with several
+// contents has the kind that comes first in the order of the constants.
 type Message uint8
 
 // Kinds of messages.
 const (
 	MessageHello Message = iota
 	MessageStart
-	MessageNews
+	MessageUpdate
 	MessageRevoke
 	MessageFence
 	MessageCredits
 	MessageFinished
 	MessageConfig
 	MessageLeaving
-	// MessageHeartbeat carries nothing but acknowledgement and load.
+	// MessageHeartbeat carries only an acknowledgement and the load.
 	MessageHeartbeat
 	MessageAnnounce
 	MessageForward
@@ -54,11 +55,11 @@
 	"leaving", "heartbeat", "announce", "forward", "exchange",
 }
 
-// betweenEntries reports whether agents neither send nor receive the kind.
+// betweenEntries reports whether the kind is exchanged between entries only.
 func (m Message) betweenEntries() bool { return m == MessageForward || m == MessageExchange }
 
-// entryEvents are the kinds that agents never record.
-var entryEvents = map[event.Kind]bool{
+// entryOnlyEvents are the event kinds that agents never record.
+var entryOnlyEvents = map[event.Kind]bool{
 	event.JobAccepted:     true,
 	event.JobJoined:       true,
 	event.JobForwarded:    true,
@@ -104,7 +105,7 @@
 	case f.Hello != nil:
 		return MessageHello
 	case len(f.News) > 0:
-		return MessageNews
+		return MessageUpdate
 	case len(f.Fenced) > 0:
 		return MessageFence
 	case f.Granted > 0 || f.Recall > 0:
@@ -115,10 +116,10 @@
 	return MessageHeartbeat
 }
 
-// Direction of a message.
+// Direction is the direction of a message.
 type Direction uint8
 
-// Directions.
+// Directions of messages.
 const (
 	Sent Direction = iota
 	Received
@@ -127,32 +128,33 @@
 
 var directionNames = [directionCount]string{"sent", "received"}
 
-// The events that stand for a message that need not have been sent. Both ends of
-// a link record most events; each message is counted at one end only, so that
-// sums over the processes are right. Frames that only move credits or keep a link
-// alive are told by their kind.
+// Events that indicate an unnecessary message, with the value of the reason label.
+// Most events are recorded at both ends of a link, but each message is counted at
+// one end only, so that sums over all processes are correct. Frames that only
+// transfer credits or keep a link alive are counted by their kind.
 var (
-	entryWaste = map[event.Kind]string{
+	entryWasteReasons = map[event.Kind]string{
 		event.JobForwarded: "forwarded_job",
 	}
-	agentWaste = map[event.Kind]string{
+	agentWasteReasons = map[event.Kind]string{
 		event.TaskRefused:   "refused_start",
 		event.TaskDuplicate: "duplicate_start",
 	}
 )
 
-// movements names the events that move credits; their values are the credits.
-var movements = map[event.Kind]string{
+// creditMovements maps the events that transfer credits to the value of the movement
+// label. The value of such an event is the number of credits.
+var creditMovements = map[event.Kind]string{
 	event.CreditsGranted:  "granted",
 	event.CreditsRecalled: "recalled",
 	event.CreditsReturned: "returned",
 	event.CreditsLost:     "lost",
 }
 
-// StoreCall is a kind of call to the platform's store.
+// StoreCall is the kind of a call to the platform's store.
 type StoreCall uint8
 
-// Kinds of calls. A watch that waits counts as one call.
+// Kinds of store calls. A long-running watch counts as one call.
 const (
 	StoreGet StoreCall = iota
 	StoreList
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -11,42 +11,45 @@
 	"github.com/papayahoist/papayahoist/dispatch/hlc"
 )
 
-// Options of the collectors of one process.
+// Options configures the collectors of one process.
 type Options struct {
 	// Role is "entry" or "agent".
 	Role    string
 	Version string
-	// Ring and Clock are read at each scrape; both may be nil.
+	// Ring and Clock are read on each scrape; both may be nil.
 	Ring  *event.Ring
 	Clock *hlc.Clock
 }
 
-// Process holds what entries and agents both measure. A Process's methods may
-// be called from any goroutine.
+// Process holds the collectors common to entries and agents. Its methods are safe
+// for concurrent use.
 type Process struct {
 	messages     [messageCount][directionCount]prometheus.Counter
 	messageBytes [messageCount][directionCount]prometheus.Counter
 
-	// ConfigDelay is the time from the writing of a contract to its coming into
-	// force here, by the two hosts' clocks.
+	// ConfigDelay is the time from the writing of a contract until it comes into
+	// force in this process, computed from the clocks of both hosts.
 	ConfigDelay prometheus.Histogram
-	// LogLines and LogLinesSuppressed count lines written and held back.
+	// LogLines and LogLinesSuppressed count the log lines that were written and
+	// those that the rate limit suppressed.
 	LogLines           prometheus.Counter
 	LogLinesSuppressed prometheus.Counter
-	// OperatorRequests counts the requests on the operators' port, by result.
+	// OperatorRequests counts the requests on the operators' port by request and
+	// result.
 	OperatorRequests *prometheus.CounterVec
 }
 
-// configDelayBuckets lie around the 9 s within which a change must be in force.
+// configDelayBuckets include 9 s, the time within which a change must come into
+// force.
 var configDelayBuckets = []float64{.01, .05, .1, .25, .5, 1, 2, 4, 9, 30, 120}
 
 func newProcess(reg prometheus.Registerer, o Options, agent bool) *Process {
 	f := factory{reg}
 	p := &Process{
 		LogLines:           f.counter("log_lines_total", "Log lines written."),
-		LogLinesSuppressed: f.counter("log_lines_suppressed_total", "Log lines held back by the rate limit."),
+		LogLinesSuppressed: f.counter("log_lines_suppressed_total", "Log lines suppressed by the rate limit."),
 		ConfigDelay: f.histogram("config_delay_seconds",
-			"Time from the writing of a contract to its coming into force here.", configDelayBuckets),
+			"Time from the writing of a contract until it is in force in this process.", configDelayBuckets),
 		OperatorRequests: f.counterVec("operator_requests_total",
 			"Requests on the operators' port.", "request", "result"),
 	}
@@ -62,10 +65,10 @@
 		}
 	}
 	registerEvents(f, o.Ring, agent)
-	f.gaugeVec("build_info", "Always 1; the labels tell what runs.", "version", "role").
+	f.gaugeVec("build_info", "Always 1; labeled by version and role of the process.", "version", "role").
 		WithLabelValues(o.Version, o.Role).Set(1)
 	if o.Clock != nil {
-		f.counterFunc("clocks_rejected_total", "Timestamps of peers too far ahead.",
+		f.counterFunc("clocks_rejected_total", "Timestamps of peers rejected as too far in the future.",
 			func() float64 { return float64(o.Clock.Rejected()) })
 	}
 	reg.MustRegister(collectors.NewGoCollector(),
@@ -73,69 +76,70 @@
 	return p
 }
 
-// Message counts one message and its encoded size. An agent must not call it
-// for messages between entries.
+// Message counts one message and its encoded size in bytes. An agent must not call
+// it with a kind that is exchanged between entries only.
 func (p *Process) Message(m Message, d Direction, bytes int) {
 	p.messages[m][d].Inc()
 	p.messageBytes[m][d].Add(float64(bytes))
 }
 
-// registerEvents exports the ring's counts, so that what is counted and what
-// the time line shows are the same decisions.
+// registerEvents exports the counts of the ring, so that the metrics and the time
+// line report the same decisions.
 func registerEvents(f factory, r *event.Ring, agent bool) {
 	for _, k := range event.Kinds() {
-		if agent && entryEvents[k] {
+		if agent && entryOnlyEvents[k] {
 			continue
 		}
 		f.counterFunc("events_total", "Events recorded, by kind.",
 			func() float64 { n, _ := r.Count(k); return float64(n) }, "kind", k.String())
 	}
-	waste := entryWaste
+	wasteReasons := entryWasteReasons
 	if agent {
-		waste = agentWaste
+		wasteReasons = agentWasteReasons
 	}
-	for k, reason := range waste {
+	for k, reason := range wasteReasons {
 		f.counterFunc("messages_wasted_total", "Messages that need not have been sent.",
 			func() float64 { n, _ := r.Count(k); return float64(n) }, "reason", reason)
 	}
-	for k, movement := range movements {
+	for k, movement := range creditMovements {
 		f.counterFunc("credits_total", "Credits moved.",
 			func() float64 { _, v := r.Count(k); return float64(v) }, "movement", movement)
 	}
-	f.counterFunc("events_overwritten_total", "Time line events lost to newer ones.",
+	f.counterFunc("events_overwritten_total", "Time line events overwritten by newer ones.",
 		func() float64 { return float64(r.Overwritten()) })
 }
 
 // Agent holds the collectors of an agent.
 type Agent struct {
 	*Process
-	// TasksFailed counts the tasks that the endpoint failed.
+	// TasksFailed counts the tasks that failed at the endpoint.
 	TasksFailed prometheus.Counter
-	// TaskRun is the run time of tasks at the endpoint.
+	// TaskRun observes the run time of tasks at the endpoint.
 	TaskRun prometheus.Histogram
 
-	state source[AgentState]
+	state stateSource[AgentState]
 }
 
-// AgentState is what an agent is at the time of a scrape.
+// AgentState is the state of an agent at the time of a scrape.
 type AgentState struct {
-	// Slots of the endpoint, and tasks running in them.
+	// Slots is the number of slots of the endpoint, TasksRunning the number of
+	// tasks that run in them.
 	Slots, TasksRunning int
-	// ResultsHeld is the number of results not acknowledged by their home.
+	// ResultsHeld is the number of results not yet acknowledged by their home.
 	ResultsHeld int
 	// LinksUp is the number of links in use.
 	LinksUp        int
 	ConfigRevision uint64
 }
 
-// SetState sets where the agent's state is read at each scrape. read may be
-// called from any goroutine.
+// SetState sets the function that reads the agent's state on each scrape. It must
+// be safe for concurrent use.
 func (a *Agent) SetState(read func() AgentState) { a.state.Store(&read) }
 
-// source reads a state; until it is set, the state is zero.
-type source[S any] struct{ atomic.Pointer[func() S] }
+// stateSource reads a state; the state is zero until a function is set.
+type stateSource[S any] struct{ atomic.Pointer[func() S] }
 
-func (s *source[S]) read() S {
+func (s *stateSource[S]) read() S {
 	if read := s.Load(); read != nil {
 		return (*read)()
 	}
@@ -143,7 +147,7 @@
 	return zero
 }
 
-// taskRunBuckets cover tasks of 50 ms to a second, and the few longer ones.
+// taskRunBuckets cover tasks of 50 ms to 1 s, and the few longer ones.
 var taskRunBuckets = []float64{.01, .025, .05, .1, .2, .4, .7, 1, 2, 5, 10, 60}
 
 // NewAgent registers an agent's collectors with reg; it panics if they are
@@ -152,7 +156,7 @@
 	f := factory{reg}
 	a := &Agent{
 		Process:     newProcess(reg, o, true),
-		TasksFailed: f.counter("tasks_failed_total", "Tasks that the endpoint failed."),
+		TasksFailed: f.counter("tasks_failed_total", "Tasks that failed at the endpoint."),
 		TaskRun:     f.histogram("task_run_seconds", "Run time of tasks at the endpoint.", taskRunBuckets),
 	}
 	gauge := func(name, help string, value func(AgentState) float64) {
@@ -160,7 +164,7 @@
 	}
 	gauge("slots", "Slots of the endpoint.", func(s AgentState) float64 { return float64(s.Slots) })
 	gauge("tasks_running", "Tasks running at the endpoint.", func(s AgentState) float64 { return float64(s.TasksRunning) })
-	gauge("results_held", "Results not acknowledged by their home yet.", func(s AgentState) float64 { return float64(s.ResultsHeld) })
+	gauge("results_held", "Results not yet acknowledged by their home.", func(s AgentState) float64 { return float64(s.ResultsHeld) })
 	gauge("links_up", "Links in use.", func(s AgentState) float64 { return float64(s.LinksUp) })
 	gauge("config_revision", "Highest contract revision in force.", func(s AgentState) float64 { return float64(s.ConfigRevision) })
 	return a
@@ -170,41 +174,43 @@
 type Entry struct {
 	*Process
 
-	state         source[EntryState]
-	storeCalls    [storeCallCount]storeSeries
+	state         stateSource[EntryState]
+	storeCalls    [storeCallCount]storeCallSeries
 	contracts     contractCache
 	contractVecs  contractVecs
 	otherContract *Contract
 }
 
-// EntryState is what an entry is at the time of a scrape.
+// EntryState is the state of an entry at the time of a scrape.
 type EntryState struct {
-	// JobsInFlight is the number of jobs accepted and not answered.
+	// JobsInFlight is the number of jobs accepted and not yet answered.
 	JobsInFlight int
-	// TasksWaiting is the number of tasks accepted and not dispatched.
+	// TasksWaiting is the number of tasks accepted and not yet dispatched.
 	TasksWaiting int
-	// CreditsHeld is the number of starts that agents have granted.
+	// CreditsHeld is the number of starts granted by agents and not yet used.
 	CreditsHeld int
-	// LinksUp is the number of links in use, LinksDown of those that are missed.
+	// LinksUp is the number of links in use, LinksDown the number of agents that
+	// have no link and have not been abandoned.
 	LinksUp, LinksDown int
-	// WorkersSuspended is the number of workers that get no work for failing tasks.
+	// WorkersSuspended is the number of workers that get no work because tasks fail
+	// on them.
 	WorkersSuspended int
 	ConfigRevision   uint64
-	// StoreUp is whether the platform's store answers.
+	// StoreUp reports whether the platform's store answers.
 	StoreUp bool
 }
 
-// SetState sets where the entry's state is read at each scrape. read may be
-// called from any goroutine.
+// SetState sets the function that reads the entry's state on each scrape. It must
+// be safe for concurrent use.
 func (e *Entry) SetState(read func() EntryState) { e.state.Store(&read) }
 
-type storeSeries struct {
+type storeCallSeries struct {
 	ok, failed prometheus.Counter
 	duration   prometheus.Observer
 }
 
-// storeBuckets reach from a fast read to the timeout of a store in trouble.
-var storeBuckets = []float64{.001, .0025, .005, .01, .025, .1, .5, 2, 10}
+// storeCallBuckets range from a fast read to the timeout of an overloaded store.
+var storeCallBuckets = []float64{.001, .0025, .005, .01, .025, .1, .5, 2, 10}
 
 // NewEntry registers an entry's collectors with reg; it panics if they are
 // registered there already.
@@ -215,12 +221,12 @@
 		contractVecs: newContractVecs(f),
 	}
 	e.registerState(f)
-	e.otherContract = e.contractVecs.resolve(OtherContract)
+	e.otherContract = e.contractVecs.newContract(OtherContract)
 	calls := f.counterVec("store_calls_total", "Calls to the platform's store.", "call", "result")
-	duration := f.histogramVec("store_call_duration_seconds", "Duration of calls to the platform's store, watches excepted.",
-		storeBuckets, "call")
+	duration := f.histogramVec("store_call_duration_seconds", "Duration of calls to the platform's store, excluding watches.",
+		storeCallBuckets, "call")
 	for c, call := range storeCallNames {
-		e.storeCalls[c] = storeSeries{
+		e.storeCalls[c] = storeCallSeries{
 			ok:       calls.WithLabelValues(call, "ok"),
 			failed:   calls.WithLabelValues(call, "failed"),
 			duration: duration.WithLabelValues(call),
@@ -237,8 +243,8 @@
 	gauge("tasks_waiting", "Tasks accepted and not dispatched.", func(s EntryState) float64 { return float64(s.TasksWaiting) })
 	gauge("credits_held", "Starts granted by agents and not used.", func(s EntryState) float64 { return float64(s.CreditsHeld) })
 	gauge("links_up", "Links in use.", func(s EntryState) float64 { return float64(s.LinksUp) })
-	gauge("links_down", "Agents not given up that have no link.", func(s EntryState) float64 { return float64(s.LinksDown) })
-	gauge("workers_suspended", "Workers that get no work because tasks fail there.",
+	gauge("links_down", "Agents without a link that have not been abandoned.", func(s EntryState) float64 { return float64(s.LinksDown) })
+	gauge("workers_suspended", "Workers that get no work because tasks fail on them.",
 		func(s EntryState) float64 { return float64(s.WorkersSuspended) })
 	gauge("config_revision", "Highest contract revision in force.", func(s EntryState) float64 { return float64(s.ConfigRevision) })
 	gauge("store_up", "Whether the platform's store answers.", func(s EntryState) float64 {
@@ -249,7 +255,8 @@
 	})
 }
 
-// StoreCall counts a call to the platform's store that took d.
+// StoreCall counts a call to the platform's store and records its duration d, except
+// for watches.
 func (e *Entry) StoreCall(c StoreCall, d time.Duration, err error) {
 	s := e.storeCalls[c]
 	if err != nil {
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -16,7 +16,8 @@
 	"github.com/papayahoist/papayahoist/dispatch/hlc"
 )
 
-// series counts the exported samples, a histogram's buckets one by one.
+// series returns the number of exported series, including those of each histogram
+// bucket.
 func series(t *testing.T, reg *prometheus.Registry) int {
 	t.Helper()
 	families, err := reg.Gather()
@@ -54,21 +55,21 @@
 	NewAgent(agents, Options{Role: "agent", Ring: ring})
 	ring.Record(time.Unix(0, 0), event.Event{Kind: event.TaskDuplicate})
 	ring.Record(time.Unix(0, 0), event.Event{Kind: event.CreditsReturned, Value: 1})
-	wantWaste := `
+	wantWasted := `
 # HELP papayahoist_messages_wasted_total Messages that need not have been sent.
 # TYPE papayahoist_messages_wasted_total counter
 papayahoist_messages_wasted_total{reason="duplicate_start"} 1
 papayahoist_messages_wasted_total{reason="refused_start"} 0
 `
-	if err := testutil.GatherAndCompare(agents, strings.NewReader(wantWaste), "papayahoist_messages_wasted_total"); err != nil {
+	if err := testutil.GatherAndCompare(agents, strings.NewReader(wantWasted), "papayahoist_messages_wasted_total"); err != nil {
 		t.Error(err)
 	}
 	if n := series(t, agents); n >= 120 {
 		t.Errorf("agent exports %d series, want under 120", n)
 	}
 
-	// A caller sends requests with made-up contract names. Were each a series,
-	// the process would grow until it is killed, and the metrics server with it.
+	// A caller sends requests with made-up contract names. With a series for each
+	// name, the process and the Prometheus server would run out of memory.
 	for i := range 10_000 {
 		e.Contract(fmt.Sprintf("made-up-%d", i)).Offered.Add(1)
 	}
@@ -86,7 +87,7 @@
 	}
 }
 
-func TestRemovedContractLeavesNoSeries(t *testing.T) {
+func TestRemoveContractRemovesSeries(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	e := NewEntry(reg, Options{Role: "entry"})
 	before := series(t, reg)
@@ -167,7 +168,7 @@
 		}
 		for _, m := range f.GetMetric() {
 			if m.GetLabel()[0].GetValue() == "reports" && m.GetHistogram().GetSampleCount() != 1 {
-				t.Errorf("%d responses observed, want 1: a job without run time has no ratio",
+				t.Errorf("%d responses observed, want 1: jobs without a run time must be ignored",
 					m.GetHistogram().GetSampleCount())
 			}
 		}
@@ -207,7 +208,7 @@
 		want  Message
 	}{
 		{&pb.AgentFrame{Hello: &pb.AgentHello{}}, MessageHello},
-		{&pb.AgentFrame{News: []*pb.TaskNews{{}}, Granted: 1}, MessageNews},
+		{&pb.AgentFrame{News: []*pb.TaskNews{{}}, Granted: 1}, MessageUpdate},
 		{&pb.AgentFrame{Fenced: []*pb.FenceReport{{}}}, MessageFence},
 		{&pb.AgentFrame{Recall: 1}, MessageCredits},
 		{&pb.AgentFrame{Leaving: true}, MessageLeaving},
@@ -220,7 +221,8 @@
 	}
 }
 
-// BenchmarkRequestPath is what the metrics of one served job cost an entry.
+// BenchmarkRequestPath measures the cost of the metrics of one served job at an
+// entry.
 func BenchmarkRequestPath(b *testing.B) {
 	e := NewEntry(prometheus.NewRegistry(), Options{Role: "entry"})
 	e.AddContract("reports")
@@ -230,7 +232,7 @@
 		c.Offered.Add(1)
 		c.TasksStarted.Add(1)
 		e.Message(MessageStart, Sent, 200)
-		e.Message(MessageNews, Received, 200)
+		e.Message(MessageUpdate, Received, 200)
 		c.Served.Add(1)
 		c.Response(300*time.Millisecond, 200*time.Millisecond)
 	}
