--- a/node/operator/doc.go
+++ b/node/operator/doc.go
@@ -1,7 +1,8 @@
 // Package operator serves the operators' port of entries and agents:
 // OperatorService (Status, Timeline) over connect, /metrics for Prometheus,
-// /healthz (the process handles requests) and /readyz (it wants new work).
+// /healthz (the process handles requests) and /readyz (it accepts new work).
 //
-// Nothing here is on the path of a task. Time lines are bounded in events and
-// in requests at a time, so that a curious operator can't starve the dispatch.
+// This package is not on the path of a task. The number of events in a time line
+// and of concurrent time line requests are limited, so that operators can't starve
+// the dispatch of resources.
 package operator
--- a/node/operator/filter.go
+++ b/node/operator/filter.go
@@ -9,30 +9,30 @@
 	"github.com/papayahoist/papayahoist/dispatch/event"
 )
 
-// Errors of this package. Callers see them as connect errors, invalid_argument
-// and resource_exhausted.
+// Errors of this package. Clients receive them as connect errors with the codes
+// invalid_argument and resource_exhausted.
 var (
-	errorNamespace = errorx.NewNamespace("operator")
-	errFilter      = errorNamespace.NewType("invalid_filter")
-	errBusy        = errorNamespace.NewType("busy")
+	errorNamespace   = errorx.NewNamespace("operator")
+	errInvalidFilter = errorNamespace.NewType("invalid_filter")
+	errBusy          = errorNamespace.NewType("busy")
 )
 
-// filterOf checks a request and turns it into a filter of the ring.
+// filterOf validates a request and converts it to a filter of the ring.
 func filterOf(r *pb.TimelineRequest) (event.Filter, error) {
 	names := []struct{ field, value string }{
 		{"job", r.Job}, {"contract", r.Contract}, {"worker", r.Worker},
 	}
 	for _, name := range names {
 		if len(name.value) > maxNameLength {
-			return event.Filter{}, errFilter.New("%s has %d bytes, at most %d are allowed",
+			return event.Filter{}, errInvalidFilter.New("%s has %d bytes, at most %d are allowed",
 				name.field, len(name.value), maxNameLength)
 		}
 	}
 	if r.FromUnixMs < 0 || r.UntilUnixMs < 0 {
-		return event.Filter{}, errFilter.New("from and until must not be negative")
+		return event.Filter{}, errInvalidFilter.New("from and until must not be negative")
 	}
 	if r.FromUnixMs > 0 && r.UntilUnixMs > 0 && r.FromUnixMs >= r.UntilUnixMs {
-		return event.Filter{}, errFilter.New("from must lie before until")
+		return event.Filter{}, errInvalidFilter.New("from must lie before until")
 	}
 	filter := event.Filter{
 		Job:      r.Job,
@@ -48,7 +48,8 @@
 	return filter, nil
 }
 
-// timeOf returns the zero time, which filters take as unbounded, for zero.
+// timeOf converts Unix milliseconds. Zero gives the zero time, which is no bound in a
+// filter.
 func timeOf(unixMillis int64) time.Time {
 	if unixMillis == 0 {
 		return time.Time{}
--- a/node/operator/operator.go
+++ b/node/operator/operator.go
@@ -17,7 +17,7 @@
 	"github.com/papayahoist/papayahoist/dispatch/hlc"
 )
 
-// Paths beside those of OperatorService.
+// HTTP paths other than those of OperatorService.
 const (
 	PathMetrics = "/metrics"
 	PathHealth  = "/healthz"
@@ -26,41 +26,45 @@
 
 // Limits of one request.
 const (
-	// MaxEvents bounds a time line; a request without a limit gets it too.
+	// MaxEvents is the maximum number of events in a time line, and the default of
+	// requests without a limit.
 	MaxEvents = 20_000
-	// maxRequestBytes bounds a request's body; all requests are small.
+	// maxRequestBytes is the maximum size of a request body; valid requests are
+	// small.
 	maxRequestBytes = 16 << 10
-	// maxNameLength bounds the names in a filter, in bytes.
+	// maxNameLength is the maximum length of a name in a filter, in bytes.
 	maxNameLength = 256
-	// timelinesAtOnce bounds the time lines in the making: each holds a copy of
-	// the events, and the memory of an agent is small.
-	timelinesAtOnce = 2
+	// maxConcurrentRequests limits concurrent time line requests, and likewise
+	// concurrent /metrics requests. Each time line holds a copy of the events, and
+	// agents have little memory.
+	maxConcurrentRequests = 2
 )
 
-// StatusSource is the process's own view. Status may be called from any
-// goroutine and must not block on peers or the platform; the result is the
-// caller's.
+// StatusSource reports the status of the process. Status must be safe for concurrent
+// use and must not block on peers or the platform. The caller owns the result.
 type StatusSource interface {
 	Status() *pb.StatusResponse
 }
 
-// Options of the handler; Status must be set.
+// Options configures the handler. Status is required.
 type Options struct {
 	Status StatusSource
-	// Ring and Clock may be nil: then the time line is empty.
+	// Ring and Clock may be nil. Without Ring, time lines are empty.
 	Ring  *event.Ring
 	Clock *hlc.Clock
-	// Incarnation and Role go into time lines.
+	// Incarnation and Role are included in time lines.
 	Incarnation string
 	Role        string
-	// Ready returns why the process takes no new work, or nil. A nil func is always ready.
+	// Ready returns nil if the process accepts new work, and otherwise the reason
+	// why not. If Ready is nil, the process is always ready.
 	Ready func() error
-	// Gatherer is read by /metrics; nil takes the default one.
+	// Gatherer is the source of /metrics; the default is
+	// prometheus.DefaultGatherer.
 	Gatherer prometheus.Gatherer
-	// Requests counts requests by name and result; nil counts nothing.
+	// Requests counts requests by name and result; it may be nil.
 	Requests *prometheus.CounterVec
 	Logger   *slog.Logger
-	// Now is the wall clock; nil takes time.Now.
+	// Now returns the wall clock time; the default is time.Now.
 	Now func() time.Time
 }
 
@@ -78,15 +82,15 @@
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	s := &service{Options: o, timelines: make(chan struct{}, timelinesAtOnce)}
+	s := &service{Options: o, timelines: make(chan struct{}, maxConcurrentRequests)}
 	path, rpc := papayahoistv1connect.NewOperatorServiceHandler(s,
 		connect.WithReadMaxBytes(maxRequestBytes),
-		connect.WithInterceptors(connect.UnaryInterceptorFunc(s.count)))
+		connect.WithInterceptors(connect.UnaryInterceptorFunc(s.countRequests)))
 	router := chi.NewRouter()
 	router.Mount(path, rpc)
 	router.Method(http.MethodGet, PathMetrics, promhttp.HandlerFor(o.Gatherer, promhttp.HandlerOpts{
 		ErrorLog:            slog.NewLogLogger(o.Logger.Handler(), slog.LevelError),
-		MaxRequestsInFlight: timelinesAtOnce,
+		MaxRequestsInFlight: maxConcurrentRequests,
 	}))
 	router.Get(PathHealth, func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "ok") })
 	router.Get(PathReady, s.ready)
@@ -111,20 +115,20 @@
 func writeText(w http.ResponseWriter, code int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(code)
-	_, _ = w.Write([]byte(text + "\n")) // a probe that hung up has its answer
+	_, _ = w.Write([]byte(text + "\n")) // the client may have disconnected
 }
 
-// Status implements the RPC.
+// Status implements OperatorService.
 func (s *service) Status(_ context.Context, r *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
-	s.observe(r.Msg.Clock)
+	s.observeClock(r.Msg.Clock)
 	response := s.Options.Status.Status()
 	response.Clock = s.Clock.Now(s.Now())
 	return connect.NewResponse(response), nil
 }
 
-// Timeline implements the RPC.
+// Timeline implements OperatorService.
 func (s *service) Timeline(_ context.Context, r *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
-	s.observe(r.Msg.Clock)
+	s.observeClock(r.Msg.Clock)
 	filter, err := filterOf(r.Msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
@@ -133,7 +137,7 @@
 	case s.timelines <- struct{}{}:
 		defer func() { <-s.timelines }()
 	default:
-		return nil, connect.NewError(connect.CodeResourceExhausted, errBusy.New("%d time lines are being made, ask again", timelinesAtOnce))
+		return nil, connect.NewError(connect.CodeResourceExhausted, errBusy.New("%d time line requests are in progress; retry later", maxConcurrentRequests))
 	}
 	snapshot := s.Ring.Snapshot(filter)
 	return connect.NewResponse(&pb.TimelineResponse{
@@ -149,7 +153,7 @@
 	}), nil
 }
 
-func (s *service) observe(remote uint64) { s.Clock.Observe(remote, s.Now()) }
+func (s *service) observeClock(remote uint64) { s.Clock.Observe(remote, s.Now()) }
 
 func encodeEvents(process string, events []event.Event) []*pb.Event {
 	encoded := make([]*pb.Event, 0, len(events))
@@ -169,8 +173,8 @@
 	return encoded
 }
 
-// count is an interceptor that counts requests by their name and result.
-func (s *service) count(next connect.UnaryFunc) connect.UnaryFunc {
+// countRequests is an interceptor that counts requests by name and result.
+func (s *service) countRequests(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		response, err := next(ctx, r)
 		if s.Requests != nil {
--- a/node/operator/operator_test.go
+++ b/node/operator/operator_test.go
@@ -95,21 +95,21 @@
 		t.Errorf("response is %v", got)
 	}
 	if got.Clock <= got.Events[1].Clock {
-		t.Error("the response's clock is not above its events")
+		t.Error("the clock of the response is not later than its events")
 	}
 }
 
 func digits(n uint64) string { return string(rune('0' + n)) }
 
 func TestMalformedTimelineRequests(t *testing.T) {
-	// A script sends wrong filters. It must be told what is wrong instead of
-	// getting an empty time line, which looks like nothing having happened.
+	// A script sends invalid filters. It must get an error instead of an empty time
+	// line, which would look as if nothing had happened.
 	long := strings.Repeat("x", maxNameLength+1)
 	tests := []struct {
-		name    string
-		request *pb.TimelineRequest
-		code    connect.Code
-		says    string
+		name     string
+		request  *pb.TimelineRequest
+		code     connect.Code
+		wantText string
 	}{
 		{"long job", &pb.TimelineRequest{Job: long}, connect.CodeInvalidArgument, "job has 257 bytes"},
 		{"long contract", &pb.TimelineRequest{Contract: long}, connect.CodeInvalidArgument, "contract has"},
@@ -122,8 +122,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := f.client.Timeline(context.Background(), connect.NewRequest(tt.request))
-			if connect.CodeOf(err) != tt.code || !strings.Contains(err.Error(), tt.says) {
-				t.Errorf("error %v, want %v with %q", err, tt.code, tt.says)
+			if connect.CodeOf(err) != tt.code || !strings.Contains(err.Error(), tt.wantText) {
+				t.Errorf("error %v, want %v with %q", err, tt.code, tt.wantText)
 			}
 		})
 	}
@@ -132,9 +132,9 @@
 	}
 }
 
-func TestTimelinesAtOnceAreBounded(t *testing.T) {
-	// Several operators ask every agent for everything during an outage. Each
-	// answer is a copy of the ring, and an agent has little memory.
+func TestConcurrentTimelinesAreLimited(t *testing.T) {
+	// Several operators request complete time lines of every agent during an outage.
+	// Each response holds a copy of the ring, and agents have little memory.
 	s := &service{Options: Options{Clock: new(hlc.Clock), Now: func() time.Time { return epoch }},
 		timelines: make(chan struct{}, 1)}
 	s.timelines <- struct{}{}
@@ -144,7 +144,7 @@
 	}
 	<-s.timelines
 	if _, err := s.Timeline(context.Background(), connect.NewRequest(&pb.TimelineRequest{})); err != nil {
-		t.Errorf("error %v once the other is done", err)
+		t.Errorf("error %v after the other request ended", err)
 	}
 }
 
@@ -160,12 +160,12 @@
 	}
 }
 
-func TestPlainPaths(t *testing.T) {
+func TestHTTPPaths(t *testing.T) {
 	f := newFixture(t)
-	check := func(path string, wantCode int, says string) {
+	check := func(path string, wantCode int, wantText string) {
 		t.Helper()
-		if code, body := f.get(t, path); code != wantCode || !strings.Contains(body, says) {
-			t.Errorf("%s: %d %.200q, want %d with %q", path, code, body, wantCode, says)
+		if code, body := f.get(t, path); code != wantCode || !strings.Contains(body, wantText) {
+			t.Errorf("%s: %d %.200q, want %d with %q", path, code, body, wantCode, wantText)
 		}
 	}
 	check(PathHealth, http.StatusOK, "ok")
