--- a/node/decisionlog/decisionlog.go
+++ b/node/decisionlog/decisionlog.go
@@ -1,8 +1,8 @@
-// Package decisionlog writes a structured line for each decision without ever
-// making the one that decides wait: lines go through a bounded ring, and a single
-// goroutine formats and writes them. When the writer stalls or can't keep up, lines
-// are dropped and counted, plain successes first, and the next line that passes
-// says how many.
+// Package decisionlog writes a structured log line for each decision without blocking
+// the goroutine that makes it. Lines are put into a bounded queue, and a single
+// goroutine formats and writes them. If the writer stalls or can't keep up, lines are
+// dropped and counted, routine ones first, and the number of dropped lines is logged
+// with the next write.
 package decisionlog
 
 import (
@@ -23,41 +23,44 @@
 }
 
 const (
-	// ringSize is some seconds of lines of a busy entry.
-	ringSize = 4096
-	// routineShare is the part of the ring that lines of plain successes may fill;
-	// refusals, failures and changes of belief find room when it is full.
+	// queueSize is the number of lines that a busy entry logs within a few seconds.
+	queueSize = 4096
+	// routineShare is the fraction of the queue available to routine lines. The
+	// rest is reserved for refusals, failures and state changes.
 	routineShare = 0.75
-	// writeEvery gathers lines, so that they cost one write and one wake-up.
-	writeEvery = 100 * time.Millisecond
-	// writeBytes bounds one write. A pipe takes so many bytes whole or not at all
-	// (PIPE_BUF); of longer writes collectors have been seen to keep the beginning.
-	writeBytes = 4096
+	// batchDelay is the time for which lines are collected, so that they share one
+	// wake-up and few writes.
+	batchDelay = 100 * time.Millisecond
+	// maxWriteBytes is the maximum size of one write. Up to this size (PIPE_BUF)
+	// writes to a pipe are atomic. Some log collectors keep only the beginning of
+	// longer writes.
+	maxWriteBytes = 4096
 )
 
-// Log is the ring and its writer. Use New.
+// Log is a queue of lines with its writer. Use New to create one.
 type Log struct {
-	w       *wholeLines
+	w       *lineWriter
 	handler slog.Handler
 
-	wake chan struct{} // there are lines
+	wake chan struct{} // signals that lines is no longer empty
 
 	mu      sync.Mutex
 	lines   []Line
 	dropped uint64
 }
 
-// New returns a log that writes JSON lines with the attributes. Run writes them.
+// New returns a log that writes JSON lines to w, each with attrs. Nothing is written
+// until Run is called.
 func New(w io.Writer, attrs ...slog.Attr) *Log {
-	b := &wholeLines{bufio.NewWriterSize(w, writeBytes)}
+	b := &lineWriter{bufio.NewWriterSize(w, maxWriteBytes)}
 	return &Log{w: b, wake: make(chan struct{}, 1), handler: slog.NewJSONHandler(b, &slog.HandlerOptions{Level: slog.LevelDebug}).WithAttrs(attrs)}
 }
 
-// wholeLines gathers lines into writes that end with a line's end.
-type wholeLines struct{ *bufio.Writer }
+// lineWriter batches lines into writes that never split a line that fits the buffer.
+type lineWriter struct{ *bufio.Writer }
 
-// Write takes one line.
-func (w *wholeLines) Write(line []byte) (int, error) {
+// Write buffers one line.
+func (w *lineWriter) Write(line []byte) (int, error) {
 	if len(line) > w.Available() {
 		if err := w.Flush(); err != nil {
 			return 0, err
@@ -66,13 +69,14 @@
 	return w.Writer.Write(line)
 }
 
-// Add puts a line into the ring. Routine lines give way to others. It never blocks.
+// Add queues a line, or drops it if the queue is full. For routine lines the queue is
+// full earlier. Add never blocks.
 func (l *Log) Add(line Line, routine bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit := ringSize
+	limit := queueSize
 	if routine {
-		limit = int(routineShare * ringSize)
+		limit = int(routineShare * queueSize)
 	}
 	if len(l.lines) >= limit {
 		l.dropped++
@@ -87,12 +91,12 @@
 	}
 }
 
-// Run writes until the context ends, and then what is left.
+// Run writes lines until ctx is done, and then writes the lines that remain.
 func (l *Log) Run(ctx context.Context) {
 	for {
 		select {
 		case <-l.wake:
-			l.gather(ctx)
+			l.waitForBatch(ctx)
 			l.flush()
 		case <-ctx.Done():
 			l.flush()
@@ -101,14 +105,16 @@
 	}
 }
 
-// gather waits for more lines. An idle process has none and is not woken.
-func (l *Log) gather(ctx context.Context) {
+// waitForBatch waits while more lines are queued. It runs only after a line was
+// queued, so an idle process is not woken up.
+func (l *Log) waitForBatch(ctx context.Context) {
 	select {
-	case <-time.After(writeEvery):
+	case <-time.After(batchDelay):
 	case <-ctx.Done():
 	}
 }
 
+// flush writes all queued lines, preceded by the number of dropped lines.
 func (l *Log) flush() {
 	l.mu.Lock()
 	lines, dropped := l.lines, l.dropped
@@ -129,22 +135,21 @@
 	_ = l.handler.Handle(context.Background(), r)
 }
 
-// Handler returns a handler for lines that are not decisions, through the same
-// ring.
-func (l *Log) Handler() slog.Handler { return ringHandler{l: l} }
+// Handler returns a slog.Handler that puts other log lines into the same queue.
+func (l *Log) Handler() slog.Handler { return queueHandler{l: l} }
 
-type ringHandler struct {
+type queueHandler struct {
 	l     *Log
 	attrs []slog.Attr
 }
 
 // Enabled implements slog.Handler.
-func (h ringHandler) Enabled(_ context.Context, level slog.Level) bool {
+func (h queueHandler) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= slog.LevelInfo
 }
 
 // Handle implements slog.Handler.
-func (h ringHandler) Handle(_ context.Context, r slog.Record) error {
+func (h queueHandler) Handle(_ context.Context, r slog.Record) error {
 	attrs := append([]slog.Attr(nil), h.attrs...)
 	r.Attrs(func(a slog.Attr) bool {
 		attrs = append(attrs, a)
@@ -155,9 +160,9 @@
 }
 
 // WithAttrs implements slog.Handler.
-func (h ringHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return ringHandler{h.l, append(append([]slog.Attr(nil), h.attrs...), attrs...)}
+func (h queueHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return queueHandler{h.l, append(append([]slog.Attr(nil), h.attrs...), attrs...)}
 }
 
-// WithGroup implements slog.Handler. Groups are not used.
-func (h ringHandler) WithGroup(string) slog.Handler { return h }
+// WithGroup implements slog.Handler. It ignores groups.
+func (h queueHandler) WithGroup(string) slog.Handler { return h }
--- a/node/decisionlog/decisionlog_test.go
+++ b/node/decisionlog/decisionlog_test.go
@@ -13,25 +13,25 @@
 	return Line{Event: event, Attrs: []slog.Attr{slog.String("job", "5c0e")}}
 }
 
-// Nobody reads the process's standard output, so its pipe is full. Deciding must go
-// on, and when the reader is back, the log says how many lines are missing, and has
-// kept refusals rather than plain successes.
-func TestStalledWriterHoldsNobodyUp(t *testing.T) {
+// Standard output is a full pipe that is not read. Add must not block. Once the reader
+// is back, the log must report the number of dropped lines, and must have kept
+// refusals rather than routine lines.
+func TestStalledWriterDoesNotBlock(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, slog.String("process", "entry-1"))
-	for range 2 * ringSize {
+	for range 2 * queueSize {
 		l.Add(line("task_ordered"), true)
 	}
-	for range ringSize / 8 {
+	for range queueSize / 8 {
 		l.Add(line("job_answered"), false)
 	}
 	l.flush()
 	text := out.String()
-	if n := strings.Count(text, `"msg":"job_answered"`); n != ringSize/8 {
-		t.Errorf("%d refusals in the log, want all %d", n, ringSize/8)
+	if n := strings.Count(text, `"msg":"job_answered"`); n != queueSize/8 {
+		t.Errorf("%d refusals in the log, want %d", n, queueSize/8)
 	}
 	if !strings.Contains(text, `"msg":"lines_dropped"`) || !strings.Contains(text, `"process":"entry-1"`) {
-		t.Errorf("no line about what was dropped, or none names the process: %.200s", text)
+		t.Errorf("no line reports dropped lines, or none names the process: %.200s", text)
 	}
 }
 
@@ -44,7 +44,7 @@
 		l.Run(ctx)
 		close(ended)
 	}()
-	for range 10 * ringSize {
+	for range 10 * queueSize {
 		l.Add(line("job_answered"), false)
 	}
 	cancel()
@@ -63,28 +63,28 @@
 	}
 }
 
-// writes keeps each write by itself.
-type writes struct{ all [][]byte }
+// writeRecorder records each write separately.
+type writeRecorder struct{ writes [][]byte }
 
-func (w *writes) Write(b []byte) (int, error) {
-	w.all = append(w.all, append([]byte(nil), b...))
+func (w *writeRecorder) Write(b []byte) (int, error) {
+	w.writes = append(w.writes, append([]byte(nil), b...))
 	return len(b), nil
 }
 
-// A busy entry has a hundred lines to write at once. A collector that keeps the first
-// few kilobytes of each write must not lose the rest, nor half a line: whoever looks
-// for a failed request would find nothing of it.
-func TestWritesAreShortAndEndWithALine(t *testing.T) {
-	w := &writes{}
+// A busy entry writes a hundred lines at once, and the log collector keeps only the
+// first few kilobytes of each write. No line may be lost or truncated, as the lines of
+// a failed request could then not be found.
+func TestWritesAreBoundedAndEndWithNewline(t *testing.T) {
+	w := &writeRecorder{}
 	l := New(w)
 	for i := range 100 {
 		l.Add(Line{Event: "run_ended", Attrs: []slog.Attr{slog.String("job", strings.Repeat("x", 100+i))}}, true)
 	}
 	l.flush()
 	lines := 0
-	for _, b := range w.all {
+	for _, b := range w.writes {
 		if len(b) > 4096 || b[len(b)-1] != '\n' {
-			t.Errorf("a write of %d bytes that ends with %q", len(b), b[len(b)-1])
+			t.Errorf("write of %d bytes ends with %q", len(b), b[len(b)-1])
 		}
 		lines += bytes.Count(b, []byte("\n"))
 	}
