--- a/node/lograte/lograte.go
+++ b/node/lograte/lograte.go
@@ -1,10 +1,10 @@
-// Package lograte bounds the log lines of a process.
+// Package lograte limits the rate of log lines of a process.
 //
-// In a fault storm, thousands of links change state in a second. Without a
-// bound, a process spends its share of the processor on log lines, and the
-// platform's log service slows everything that writes to it. Lines beyond the
-// rate are counted instead of written, and the next line that passes tells how
-// many were held back; the time line still has the events.
+// In a large outage, thousands of links change state within a second. Without a
+// limit, a process would spend its CPU time on log lines, and the platform's log
+// service would slow down all processes that write to it. Lines beyond the limit
+// are suppressed and counted, and the next line that is written has their number.
+// The time line still records the events.
 package lograte
 
 import (
@@ -22,22 +22,23 @@
 	DefaultBurst          = 50
 )
 
-// Counter counts lines; a prometheus.Counter is one.
+// Counter counts lines. It is implemented by prometheus.Counter.
 type Counter interface{ Inc() }
 
-// Options of a handler.
+// Options configures a handler.
 type Options struct {
-	// LinesPerSecond and Burst bound the lines; zero takes the defaults.
+	// LinesPerSecond and Burst limit the lines; if zero, the defaults are used.
 	LinesPerSecond float64
 	Burst          int
-	// Written and Suppressed may be nil.
+	// Written and Suppressed count the lines that were written and suppressed; they
+	// may be nil.
 	Written, Suppressed Counter
-	// Now is the clock of the bound; nil takes time.Now.
+	// Now returns the time for the rate limit; the default is time.Now.
 	Now func() time.Time
 }
 
-// NewHandler returns a handler that passes lines on to next within the bound.
-// Handlers made from it by WithAttrs and WithGroup share its bound.
+// NewHandler returns a handler that passes lines to next within the rate limit.
+// Handlers derived from it by WithAttrs and WithGroup share the limit.
 func NewHandler(next slog.Handler, o Options) slog.Handler {
 	if o.LinesPerSecond <= 0 {
 		o.LinesPerSecond = DefaultLinesPerSecond
@@ -54,7 +55,7 @@
 	}}
 }
 
-// state is shared by all handlers of one NewHandler.
+// state is shared by all handlers derived from one NewHandler call.
 type state struct {
 	options    Options
 	limiter    *rate.Limiter
@@ -75,20 +76,20 @@
 	now := s.options.Now()
 	if !s.limiter.AllowN(now, 1) {
 		s.suppressed.Add(1)
-		inc(s.options.Suppressed)
+		increment(s.options.Suppressed)
 		return nil
 	}
-	// The number of lines held back rides on the first line that passes, so
-	// that telling of them costs no line of its own.
+	// The number of suppressed lines is added to the next line that is written, so
+	// that reporting it needs no additional line.
 	if n := s.suppressed.Swap(0); n > 0 {
 		r = r.Clone()
 		r.AddAttrs(slog.Int64("lines_suppressed", n))
 	}
-	inc(s.options.Written)
+	increment(s.options.Written)
 	return h.next.Handle(ctx, r)
 }
 
-func inc(c Counter) {
+func increment(c Counter) {
 	if c != nil {
 		c.Inc()
 	}
--- a/node/lograte/lograte_test.go
+++ b/node/lograte/lograte_test.go
@@ -12,10 +12,9 @@
 
 func (c *count) Inc() { *c++ }
 
-func TestFaultStormIsBounded(t *testing.T) {
-	// A switch dies and every one of 1,000 links flaps ten times a second for a
-	// minute. Written out, that is 600,000 lines; operators would see their log
-	// service stall and find nothing in it.
+func TestLineRateIsLimited(t *testing.T) {
+	// A network switch fails, and each of 1,000 links flaps ten times a second for
+	// a minute. Without a limit, the 600,000 lines would stall the log service.
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	var out bytes.Buffer
 	var written, suppressed count
@@ -38,6 +37,6 @@
 		t.Errorf("counted %d written and %d suppressed of %d", written, suppressed, seconds*perSecond)
 	}
 	if !strings.Contains(out.String(), "lines_suppressed=") {
-		t.Error("no line tells that others were held back")
+		t.Error("no line reports the number of suppressed lines")
 	}
 }
