--- a/node/certs/certs.go
+++ b/node/certs/certs.go
@@ -1,10 +1,10 @@
-// Package certs keeps a port's TLS configuration up to date with its files, so
-// that certificates are replaced without a restart.
+// Package certs reloads the TLS configuration of a port when its files change, so
+// that certificates can be replaced without a restart.
 //
-// Files that can't be read or don't fit together, as while they are being
-// written, change nothing: what was loaded last stays in use, and every attempt
-// that fails is counted. Connections that are open go on; new ones, accepted or
-// dialed, use what was loaded last.
+// Files that can't be read or are inconsistent, for instance while they are being
+// written, are not used: the last configuration that was loaded stays in use, and
+// the failed attempt is counted. A reload does not affect open connections. New
+// connections, accepted or dialed, use the last configuration that was loaded.
 package certs
 
 import (
@@ -21,10 +21,11 @@
 	"github.com/papayahoist/papayahoist/node/settings"
 )
 
-// DefaultEvery is the time between looks at the files.
-const DefaultEvery = 10 * time.Second
+// DefaultReloadInterval is the time between checks of the files.
+const DefaultReloadInterval = 10 * time.Second
 
-// Files is one port's TLS files. Its methods may be called concurrently.
+// Files holds the TLS files of one port and the configuration loaded from them. Its
+// methods are safe for concurrent use.
 type Files struct {
 	files   settings.TLSFiles
 	current atomic.Pointer[tls.Config]
@@ -34,7 +35,7 @@
 	contents [][]byte
 }
 
-// Load reads the files. Its errors are those of settings.TLSFiles.
+// Load loads the files. Errors are those of settings.TLSFiles.
 func Load(files settings.TLSFiles) (*Files, error) {
 	f := &Files{files: files}
 	if !files.Enabled() {
@@ -47,8 +48,8 @@
 }
 
 // Config returns the configuration to serve the port and to dial others with the
-// same files; nil when TLS is off. Its GetConfigForClient gives what was loaded
-// last, also to who dials.
+// same files, or nil if TLS is off. Its GetConfigForClient returns the last
+// configuration that was loaded; dialers must call it too.
 func (f *Files) Config() *tls.Config {
 	if !f.files.Enabled() {
 		return nil
@@ -59,15 +60,16 @@
 	}
 }
 
-// Failed counts the attempts at reloading that have failed.
+// Failed returns the number of failed attempts to reload.
 func (f *Files) Failed() uint64 { return f.failed.Load() }
 
-// Reload loads the files again if they have changed, and reports whether it did.
+// Reload loads the files if they have changed, and reports whether they had. If it
+// fails, the previous configuration stays in use.
 func (f *Files) Reload() (changed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	contents, err := f.read()
-	if err == nil && same(contents, f.contents) {
+	if err == nil && equalContents(contents, f.contents) {
 		return false, nil
 	}
 	var config *tls.Config
@@ -99,7 +101,7 @@
 	return contents, nil
 }
 
-func same(a, b [][]byte) bool {
+func equalContents(a, b [][]byte) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -111,12 +113,13 @@
 	return true
 }
 
-// Watch reloads the files of some ports until the context ends. Every is the time
-// between looks; zero is DefaultEvery.
-func Watch(ctx context.Context, log *slog.Logger, every time.Duration, ports ...*Files) {
-	every = cmp.Or(every, DefaultEvery)
-	broken := make(map[*Files]bool)
-	ticker := time.NewTicker(every)
+// Watch periodically reloads the files of ports until ctx is done. The interval is
+// the time between checks; if zero, DefaultReloadInterval is used. Failures are
+// logged once until the files can be loaded again.
+func Watch(ctx context.Context, log *slog.Logger, interval time.Duration, ports ...*Files) {
+	interval = cmp.Or(interval, DefaultReloadInterval)
+	failing := make(map[*Files]bool)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -126,20 +129,20 @@
 		}
 		for _, f := range ports {
 			if f.files.Enabled() {
-				look(log, f, broken)
+				reloadPort(log, f, failing)
 			}
 		}
 	}
 }
 
-// look reloads one port's files and logs what changed.
-func look(log *slog.Logger, f *Files, broken map[*Files]bool) {
+// reloadPort reloads the files of one port and logs changes and new failures.
+func reloadPort(log *slog.Logger, f *Files, failing map[*Files]bool) {
 	changed, err := f.Reload()
 	switch {
-	case err != nil && !broken[f]:
+	case err != nil && !failing[f]:
 		log.Error("TLS files can't be loaded, the last ones stay in use", "cert", f.files.Cert, "err", err)
-	case changed, err == nil && broken[f]:
+	case changed, err == nil && failing[f]:
 		log.Info("TLS files loaded", "cert", f.files.Cert)
 	}
-	broken[f] = err != nil
+	failing[f] = err != nil
 }
--- a/node/certs/certs_test.go
+++ b/node/certs/certs_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// issue writes a certificate, its key and the authority's certificate to the files.
+// issue writes a new certificate, its key and the authority's certificate to files.
 func (a *authority) issue(files settings.TLSFiles, until time.Time) {
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	template := &x509.Certificate{
@@ -70,10 +70,10 @@
 	}
 }
 
-// Certificates run out and are replaced on both sides, to another authority, while
-// the processes run. A process that went on with old ones would be cut off from
-// all others when they expire; one with wrong or no certificate must stay out.
-func TestReplacedWithoutRestart(t *testing.T) {
+// Certificates are replaced at both peers, by those of another authority, while the
+// processes run. A process that kept its old certificate would be disconnected from
+// all others once it expires. Peers with an invalid or no certificate must be rejected.
+func TestReloadWithoutRestart(t *testing.T) {
 	dir := t.TempDir()
 	first, second := newAuthority("first"), newAuthority("second")
 	serverFiles, clientFiles := files(dir, "server"), files(dir, "client")
@@ -81,8 +81,8 @@
 	first.issue(serverFiles, soon)
 	first.issue(clientFiles, soon)
 	server, client := must(certs.Load(serverFiles)), must(certs.Load(clientFiles))
-	started := 0
-	h := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { started++ })
+	handled := 0
+	h := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { handled++ })
 	s := rpc.NewServer(h, server.Config())
 	s.ErrorLog = log.New(io.Discard, "", 0)
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
@@ -92,7 +92,7 @@
 		_ = s.Close()
 		<-done
 	}()
-	reached := func(c *http.Client) bool {
+	connects := func(c *http.Client) bool {
 		defer c.CloseIdleConnections()
 		resp, err := c.Get("https://" + listener.Addr().String())
 		if err == nil {
@@ -102,9 +102,9 @@
 	}
 	step := func(what string, c *http.Client, want bool) {
 		t.Helper()
-		before := started
-		if got := reached(c); got != want || (started > before) != want {
-			t.Errorf("%s: reached %v, handler ran %v; want %v", what, got, started > before, want)
+		before := handled
+		if got := connects(c); got != want || (handled > before) != want {
+			t.Errorf("%s: connected %v, handler called %v; want %v", what, got, handled > before, want)
 		}
 	}
 	step("the same authority", rpc.NewClient(client.Config()), true)
@@ -128,7 +128,7 @@
 	if changed, err := server.Reload(); changed || err == nil || server.Failed() != 1 {
 		t.Errorf("Reload of a broken key: %v, %v, %d failed", changed, err, server.Failed())
 	}
-	step("the last good ones stay in use", rpc.NewClient(client.Config()), true)
+	step("the last valid ones stay in use", rpc.NewClient(client.Config()), true)
 
 	second.issue(clientFiles, time.Now().Add(-time.Minute))
 	if _, err := client.Reload(); err != nil {
