--- a/node/process/agent.go
+++ b/node/process/agent.go
@@ -20,34 +20,34 @@
 // AgentOptions configure an Agent.
 type AgentOptions struct {
 	Settings settings.Agent
-	// Core sets the decisions' bounds; the zero value is for production.
+	// Core configures the state machine. The zero value is for production.
 	Core coreagent.Options
-	// Events is how many events the time line keeps; zero: the default.
+	// Events is the number of events that the time line keeps. If zero, a default
+	// applies.
 	Events int
-	// Registry gets the metrics; nil: one of its own.
+	// Registry is where metrics are registered. If nil, NewAgent creates one.
 	Registry *prometheus.Registry
 	Version  string
 	Logger   *slog.Logger
 }
 
-// Agent is a whole agent process.
+// Agent is a complete agent process.
 type Agent struct {
 	*agent.Agent
 	tls agentTLS
 	log *slog.Logger
 }
 
-// NewAgent puts an agent together and binds its ports. Errors are of type
-// ErrStart.
+// NewAgent assembles an agent and binds its ports. Errors are of type ErrStart.
 func NewAgent(o AgentOptions) (*Agent, error) {
 	if err := o.Settings.Validate(); err != nil {
-		return nil, ErrStart.Wrap(err, "settings")
+		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
 	if o.Registry == nil {
 		o.Registry = prometheus.NewRegistry()
 	}
 	s, core := o.Settings, o.Core
-	config, err := loadAgentTLS(s.TLS)
+	tlsFiles, err := loadAgentTLS(s.TLS)
 	if err != nil {
 		return nil, err
 	}
@@ -57,12 +57,12 @@
 	core.Events = event.NewRing(event.Options{Process: s.Name, Worker: s.Worker, Size: o.Events})
 	collectors := metrics.NewAgent(o.Registry, metrics.Options{Role: string(s.Role), Version: o.Version, Ring: core.Events})
 	log := newLogger(o.Logger, s.Name, collectors.Process)
-	made, err := agent.New(agent.Options{
-		Hello: helloOf(s), NodesListen: s.NodesListen, OperatorsListen: s.OperatorsListen, Join: s.Join,
+	driver, err := agent.New(agent.Options{
+		Hello: agentHello(s), NodesListen: s.NodesListen, OperatorsListen: s.OperatorsListen, Join: s.Join,
 		Endpoint: agent.HTTPEndpoint{
 			Client: endpoint.New(s.EndpointAddress, endpoint.Options{Connections: int(s.Connections)}),
 		},
-		NodesTLS: config.nodes.Config(), OperatorsTLS: config.operators.Config(),
+		NodesTLS: tlsFiles.nodes.Config(), OperatorsTLS: tlsFiles.operators.Config(),
 		DrainTimeout: s.DrainTimeout, Core: core, Version: o.Version,
 		Metrics:  collectors,
 		Gatherer: o.Registry, Logger: log,
@@ -70,10 +70,10 @@
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "agent %s", s.Name)
 	}
-	return &Agent{Agent: made, tls: config, log: log}, nil
+	return &Agent{Agent: driver, tls: tlsFiles, log: log}, nil
 }
 
-func helloOf(s settings.Agent) *pb.AgentHello {
+func agentHello(s settings.Agent) *pb.AgentHello {
 	return &pb.AgentHello{
 		Agent: s.Name, Incarnation: entry.NewIncarnation(), Address: s.NodesAddress,
 		Worker: s.Worker, Rack: s.Rack, FailureDomain: s.FailureDomain,
@@ -83,9 +83,9 @@
 
 // Run serves until the context ends, then drains.
 func (a *Agent) Run(ctx context.Context) error {
-	kept, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	bgCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	go a.tls.watch(kept, a.log)
+	go a.tls.watch(bgCtx, a.log)
 	if err := a.Agent.Run(ctx); err != nil {
 		return ErrServe.Wrap(err, "agent")
 	}
--- a/node/process/doc.go
+++ b/node/process/doc.go
@@ -1,7 +1,8 @@
-// Package process assembles a whole entry or agent from its settings: the
-// driver with its decisions, the platform's clients, membership and contracts,
+// Package process assembles a complete entry or agent from its settings: the
+// driver and its state machine, the platform's clients, membership and contracts,
 // metrics, time line and the operators' port.
 //
-// A process is made with NewEntry or NewAgent, which bind its ports, and lives
-// in Run until the context ends and it has drained.
+// NewEntry, NewAgent, NewLeasedEntry and NewLeasedAgent create a process and bind
+// its ports. Run serves until its context is cancelled, and returns after the
+// process has drained.
 package process
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -28,27 +28,30 @@
 // EntryOptions configure an Entry.
 type EntryOptions struct {
 	Settings settings.Entry
-	// Store is the platform's; nil: a client of Settings.StoreAddresses.
+	// Store is the client of the platform's store. If nil, NewEntry creates one for
+	// Settings.StoreAddresses.
 	Store store.Client
-	// Core sets the decisions' times and policies; the zero value is for
-	// production.
+	// Core configures the state machine. The zero value is for production.
 	Core coreentry.Options
-	// LeaseTTL and Member set the times of the membership; zero: the defaults.
+	// LeaseTTL and Member set the time-outs of the membership. Zero values stand for
+	// the defaults.
 	LeaseTTL time.Duration
 	Member   member.Options
-	// Events is how many events the time line keeps; zero: the default.
+	// Events is the number of events that the time line keeps. If zero, a default
+	// applies.
 	Events int
-	// Registry gets the metrics; nil: one of its own.
+	// Registry is where metrics are registered. If nil, NewEntry creates one.
 	Registry *prometheus.Registry
 	Version  string
 	Logger   *slog.Logger
 }
 
-// defaultEvents is how many events an entry keeps: it sees the work of all of
-// its agents, some seconds of it at 1,700 tasks a second.
+// defaultEvents is the number of events that an entry keeps. An entry records the
+// work of all its agents; the ring holds some seconds of it at 1,700 tasks per
+// second.
 const defaultEvents = 1 << 17
 
-// Entry is a whole entry process.
+// Entry is a complete entry process.
 type Entry struct {
 	*entry.Entry
 	self       *pb.Peer
@@ -59,15 +62,15 @@
 	log        *slog.Logger
 }
 
-// NewEntry puts an entry together and binds its ports. Errors are of type
-// ErrStart, or the settings' for TLS files.
+// NewEntry assembles an entry and binds its ports. Errors are of type ErrStart; for
+// TLS files that can't be loaded, they wrap the settings' error.
 func NewEntry(o EntryOptions) (*Entry, error) {
 	if err := o.Settings.Validate(); err != nil {
-		return nil, ErrStart.Wrap(err, "settings")
+		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
 	b := newEntryBuilder(o)
 	e := &Entry{config: config.NewHolder()}
-	if err := b.driver(e); err != nil {
+	if err := b.buildDriver(e); err != nil {
 		return nil, err
 	}
 	hello := b.hello
@@ -76,29 +79,29 @@
 		FailureDomain: hello.FailureDomain, OperatorAddress: hello.OperatorAddress,
 	}
 	e.tls, e.log = b.tls, b.log
-	b.membership(e)
+	b.buildMembership(e)
 	return e, nil
 }
 
-// Peer is this process as others know it.
+// Peer returns this process as other entries list it.
 func (e *Entry) Peer() *pb.Peer { return e.self }
 
-// Config has the contracts in force here.
+// Config returns the holder of the contracts in force at this entry.
 func (e *Entry) Config() *config.Holder { return e.config }
 
-// Run serves until the context ends, then drains. Membership and contracts are
-// kept until the drain has ended: jobs in flight need them.
+// Run serves until the context is cancelled, then drains. Membership and contracts
+// stay up to date until the drain has ended, since jobs in flight need them.
 func (e *Entry) Run(ctx context.Context) error {
-	kept, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	bgCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	wg.Go(func() { e.membership.Run(kept) })
-	wg.Go(func() { e.tls.watch(kept, e.log) })
+	wg.Go(func() { e.membership.Run(bgCtx) })
+	wg.Go(func() { e.tls.watch(bgCtx, e.log) })
 	stop := context.AfterFunc(ctx, e.membership.Leave)
 	err := e.Entry.Run(ctx)
 	stop()
 	if !e.killed.Load() {
-		// Nothing can be started here any more: the others may have its parts of
-		// the contracts at once.
+		// This entry can't start tasks any more, so the others may take over its
+		// shares of the contracts at once.
 		e.membership.End()
 	}
 	cancel()
@@ -109,13 +112,15 @@
 	return nil
 }
 
-// Kill ends the process at once, as a crash would: for tests and load tools.
+// Kill ends the process at once, without a drain, as a crash would. It is meant for
+// tests and load tools.
 func (e *Entry) Kill() {
 	e.killed.Store(true)
 	e.Entry.Kill()
 }
 
-// startersChanged tells the driver who may start tasks, of which contracts.
+// startersChanged passes the entries that may start tasks, and the names of the
+// contracts in force, to the driver.
 func (e *Entry) startersChanged(others []string, fenced bool) {
 	var contracts []string
 	for _, c := range e.config.Snapshot().All() {
@@ -124,24 +129,24 @@
 	e.SetStarters(others, fenced, contracts)
 }
 
-// ready holds callers back until the contracts are known, and until the entry has
-// a part of one: without contracts it would refuse every job as of an unknown
-// contract, without a part every caller would wait for nothing.
+// ready returns why the entry can't serve callers yet, or nil. Without contracts
+// the entry would refuse every job for an unknown contract; without a share of one,
+// callers would wait in vain.
 func (e *Entry) ready() error {
 	switch {
 	case e.config.Snapshot().Covered() == 0:
 		return errNotReady.New("no contracts received yet")
 	case !e.membership.Settled():
-		return errNotReady.New("the other entries are not found yet")
+		return errNotReady.New("other entries not discovered yet")
 	case !e.HoldsParts():
-		return errNotReady.New("no part of any contract held yet")
+		return errNotReady.New("no share of any contract held yet")
 	}
 	return nil
 }
 
-// entryBuilder holds what the parts of an entry share.
+// entryBuilder holds the dependencies that the components of an entry share.
 type entryBuilder struct {
-	o       EntryOptions
+	opts    EntryOptions
 	log     *slog.Logger
 	started time.Time
 	ring    *event.Ring
@@ -155,7 +160,7 @@
 		o.Registry = prometheus.NewRegistry()
 	}
 	s := o.Settings
-	b := &entryBuilder{o: o, started: time.Now()}
+	b := &entryBuilder{opts: o, started: time.Now()}
 	o.Events = cmp.Or(o.Events, defaultEvents)
 	b.ring = event.NewRing(event.Options{Process: s.Name, Size: o.Events})
 	b.metrics = metrics.NewEntry(o.Registry, metrics.Options{Role: string(s.Role), Version: o.Version, Ring: b.ring})
@@ -166,14 +171,14 @@
 	return b
 }
 
-// driver makes e's driver. Its functions are called once e runs, when the
-// membership is there.
-func (b *entryBuilder) driver(e *Entry) error {
+// buildDriver creates e's driver. The driver calls the functions in its options only
+// while e runs, by which time e.membership is set.
+func (b *entryBuilder) buildDriver(e *Entry) error {
 	var err error
-	if b.tls, err = loadEntryTLS(b.o.Settings.TLS); err != nil {
+	if b.tls, err = loadEntryTLS(b.opts.Settings.TLS); err != nil {
 		return err
 	}
-	s, core := b.o.Settings, b.o.Core
+	s, core := b.opts.Settings, b.opts.Core
 	core.Events = b.ring
 	if p, ok := preset.ByName(s.Preset); ok {
 		core.UsePreset(p)
@@ -191,8 +196,8 @@
 		ConfigRevision: func() uint64 { return e.config.Snapshot().Covered() },
 		Ready:          e.ready,
 		CallersTLS:     b.tls.callers.Config(), NodesTLS: b.tls.nodes.Config(), OperatorsTLS: b.tls.operators.Config(),
-		DrainTimeout: s.DrainTimeout, Core: core, Version: b.o.Version,
-		Metrics: b.metrics, Gatherer: b.o.Registry, Logger: b.log,
+		DrainTimeout: s.DrainTimeout, Core: core, Version: b.opts.Version,
+		Metrics: b.metrics, Gatherer: b.opts.Registry, Logger: b.log,
 	})
 	if err != nil {
 		return ErrStart.Wrap(err, "entry %s", s.Name)
@@ -200,30 +205,31 @@
 	return nil
 }
 
-func (b *entryBuilder) membership(e *Entry) {
-	client := b.o.Store
+func (b *entryBuilder) buildMembership(e *Entry) {
+	client := b.opts.Store
 	if client == nil {
-		client = newStore(b.o.Settings.StoreAddresses, &http.Transport{}, b.metrics)
+		client = newStoreClient(b.opts.Settings.StoreAddresses, &http.Transport{}, b.metrics)
 	}
 	e.membership = membership.New(membership.Options{
-		Self: e.self, Store: client, Config: e.config, Join: b.o.Settings.Join,
+		Self: e.self, Store: client, Config: e.config, Join: b.opts.Settings.Join,
 		Events:    b.ring,
-		Exchanger: countedExchanger{membership.NewConnect(b.tls.nodes.Config()), b.metrics},
+		Exchanger: countingExchanger{membership.NewConnect(b.tls.nodes.Config()), b.metrics},
 		Extend:    e.ExtendState, Received: e.StateReceived,
 		OnPeers: e.SetPeers, OnStarters: e.startersChanged, Announced: e.Announced, Listed: e.Listed,
-		LeaseTTL: b.o.LeaseTTL, Member: b.o.Member, Logger: b.log,
+		LeaseTTL: b.opts.LeaseTTL, Member: b.opts.Member, Logger: b.log,
 	})
-	// What others hold is not known yet.
+	// Fence the entry until the shares of the other entries are known.
 	e.SetStarters(nil, true, nil)
 	e.config.OnChange(func(newer []*pb.Contract, _ *contract.Snapshot) {
 		for _, c := range newer {
-			b.observe(c)
+			b.recordContract(c)
 		}
 	})
 }
 
-// observe counts a contract that has come into force.
-func (b *entryBuilder) observe(c *pb.Contract) {
+// recordContract records in the time line and the metrics that a contract has come
+// into force or has been deleted.
+func (b *entryBuilder) recordContract(c *pb.Contract) {
 	if c.Deleted {
 		b.metrics.RemoveContract(c.Name)
 		return
@@ -233,7 +239,7 @@
 		Kind: event.ConfigInForce, Contract: c.Name, Value: c.Revision, Detail: "by " + c.ChangedBy,
 	})
 	b.metrics.AddContract(c.Name)
-	// What was written before this process started was not late for it.
+	// A change written before this process started was not delayed by it.
 	if changed := time.UnixMilli(c.ChangedUnixMs); changed.After(b.started) {
 		b.metrics.ConfigDelay.Observe(now.Sub(changed).Seconds())
 	}
--- a/node/process/errors.go
+++ b/node/process/errors.go
@@ -7,10 +7,10 @@
 
 // Types of errors.
 var (
-	// ErrStart means that a process could not be put together or bind its ports.
+	// ErrStart means that a process could not be assembled or could not bind its ports.
 	ErrStart = Errors.NewType("start")
-	// ErrServe means that a process could not go on.
+	// ErrServe means that a process failed while serving.
 	ErrServe = Errors.NewType("serve")
-	// errNotReady is why an entry is not ready.
+	// errNotReady states why an entry is not ready.
 	errNotReady = Errors.NewType("not_ready")
 )
--- a/node/process/exchange.go
+++ b/node/process/exchange.go
@@ -10,15 +10,15 @@
 	"github.com/papayahoist/papayahoist/node/metrics"
 )
 
-// countedExchanger counts the messages of the exchanges that this entry begins;
-// the driver counts those that it answers.
-type countedExchanger struct {
+// countingExchanger counts the messages of the exchanges that this entry begins.
+// The driver counts those of the exchanges that it answers.
+type countingExchanger struct {
 	next    membership.Exchanger
 	metrics *metrics.Entry
 }
 
 // Exchange implements membership.Exchanger.
-func (c countedExchanger) Exchange(ctx context.Context, address string, state *pb.PeerState) (*pb.PeerState, error) {
+func (c countingExchanger) Exchange(ctx context.Context, address string, state *pb.PeerState) (*pb.PeerState, error) {
 	c.metrics.Message(metrics.MessageExchange, metrics.Sent, proto.Size(state))
 	answer, err := c.next.Exchange(ctx, address, state)
 	if err == nil {
--- a/node/process/fleet_test.go
+++ b/node/process/fleet_test.go
@@ -27,8 +27,8 @@
 	"github.com/papayahoist/papayahoist/platform/store/etcdv3"
 )
 
-// fleet is processes that come and go, over sockets, with stand-ins of the
-// platform.
+// fleet is a set of processes that can be started and stopped. They communicate over
+// sockets, with stand-ins for the platform.
 type fleet struct {
 	t        testing.TB
 	leaseTTL time.Duration
@@ -46,7 +46,7 @@
 	cancel context.CancelFunc
 }
 
-// open starts the processes, which end with the test.
+// open starts the processes and stops them when the test ends.
 func (f *fleet) open(entries, agents int) {
 	t := f.t
 	f.kv = kv.New(kv.Options{})
@@ -79,7 +79,7 @@
 		f.wg.Go(func() { _ = a.Run(ctx) })
 	}
 	for _, e := range f.entries {
-		f.until("agents linked", func() bool { return e.Links() == agents })
+		f.waitUntil("agents linked", func() bool { return e.Links() == agents })
 	}
 }
 
@@ -102,13 +102,12 @@
 	return started
 }
 
-// until waits for something that takes a moment, and fails the test if it does
-// not come at all.
-func (f *fleet) until(what string, holds func() bool) {
+// waitUntil polls waitUntil the condition holds, and fails the test after a minute.
+func (f *fleet) waitUntil(what string, holds func() bool) {
 	f.t.Helper()
 	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > time.Minute {
-			f.t.Fatalf("does not come: %s", what)
+			f.t.Fatalf("timed out: %s", what)
 		}
 	}
 }
@@ -133,7 +132,8 @@
 	})
 }
 
-// submit sends a job of some tasks to an entry and returns status and code.
+// submit sends a job with that many tasks to the entry. It returns the HTTP status and
+// the error code.
 func (f *fleet) submit(e *fleetEntry, tasks int) (int, jobs.Code) {
 	f.t.Helper()
 	in := jobs.SubmitRequest{Contract: "desk", Kind: "gauge", TimeoutMillis: 1000}
@@ -154,12 +154,12 @@
 	return resp.StatusCode, out.Code
 }
 
-// Contracts reach entries from the store alone. An entry crashes and another is
-// started elsewhere, a contract is deleted and made again, and then the store goes
-// away. Each entry must serve callers by the terms in force, also the one that has
-// to wait until the crashed one's part of the contract is free.
+// An entry crashes and another starts at a different address, a contract is deleted and
+// created again, and then the store becomes unreachable. Each entry must apply the terms
+// in force, including the new one, which first has to wait until the crashed entry's
+// share of the contract is released. Contracts are written to the store only.
 func TestCrashDeletionAndOutage(t *testing.T) {
-	// Ten times as fast as in production.
+	// A tenth of the intervals in production.
 	f := &fleet{t: t, leaseTTL: 3 * time.Second, member: member.Options{
 		Exchange: 200 * time.Millisecond, DeadAfter: 800 * time.Millisecond, GoneAfter: 1600 * time.Millisecond,
 	}}
@@ -168,47 +168,47 @@
 		t.Errorf("job of a contract that does not exist: %d, %s", status, code)
 	}
 	first := f.apply("c1", 0, nil)
-	f.until("contract in force", func() bool { return f.inForce(first) })
+	f.waitUntil("contract in force", func() bool { return f.inForce(first) })
 	serves := func(e *fleetEntry) func() bool {
 		return func() bool { status, _ := f.submit(e, 20); return status == http.StatusOK }
 	}
 	for _, e := range f.entries {
-		f.until("entry serves", serves(e))
+		f.waitUntil("entry serves", serves(e))
 	}
 	f.entries[0].Kill()
 	f.entries[0].cancel()
 	f.entries = f.entries[1:]
-	fresh := f.start()
-	f.until("a fresh entry holds the contract", func() bool { return f.inForce(first) })
-	f.until("a fresh entry serves", serves(fresh))
+	added := f.start()
+	f.waitUntil("a new entry holds the contract", func() bool { return f.inForce(first) })
+	f.waitUntil("a new entry serves", serves(added))
 
-	gone := f.apply("c2", first, func(c *pb.Contract) { c.Deleted = true })
-	f.until("deletion in force", func() bool { return f.inForce(gone) })
-	if status, code := f.submit(fresh, 1); status != http.StatusForbidden {
+	deletion := f.apply("c2", first, func(c *pb.Contract) { c.Deleted = true })
+	f.waitUntil("deletion in force", func() bool { return f.inForce(deletion) })
+	if status, code := f.submit(added, 1); status != http.StatusForbidden {
 		t.Errorf("job of a deleted contract: %d, %s", status, code)
 	}
-	back := f.apply("c3", gone, nil)
-	f.until("contract in force again", func() bool { return f.inForce(back) })
+	recreation := f.apply("c3", deletion, nil)
+	f.waitUntil("contract in force again", func() bool { return f.inForce(recreation) })
 	f.kv.SetFaults(kv.Faults{Outage: true})
 	for _, e := range f.entries {
-		f.until("entry serves without the store", serves(e))
+		f.waitUntil("entry serves without the store", serves(e))
 	}
 }
 
-// BenchmarkTimeToForce changes a contract on 3 entries with 11 agents linked, with
-// the times of production.
+// BenchmarkTimeToForce measures the time from a contract change until it is in force at 3
+// entries with 11 linked agents and the intervals of production.
 func BenchmarkTimeToForce(b *testing.B) {
-	const usual = 2 * time.Millisecond
+	const usualLatency = 2 * time.Millisecond
 	cases := []struct {
 		name    string
 		changes int
 		faults  kv.Faults
 		restart bool
 	}{
-		{name: "quiet", changes: 200, faults: kv.Faults{Delay: usual}},
-		{name: "entry restarting", changes: 20, faults: kv.Faults{Delay: usual}, restart: true},
-		{name: "watches silent", changes: 20, faults: kv.Faults{Delay: usual, SilentWatches: true}, restart: true},
-		{name: "store at 50 times its latency", changes: 20, faults: kv.Faults{Delay: 50 * usual}},
+		{name: "quiet", changes: 200, faults: kv.Faults{Delay: usualLatency}},
+		{name: "entry restarting", changes: 20, faults: kv.Faults{Delay: usualLatency}, restart: true},
+		{name: "watches silent", changes: 20, faults: kv.Faults{Delay: usualLatency, SilentWatches: true}, restart: true},
+		{name: "store at 50 times its latency", changes: 20, faults: kv.Faults{Delay: 50 * usualLatency}},
 	}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
@@ -218,7 +218,7 @@
 			var revision uint64
 			var took []time.Duration
 			for i := range c.changes {
-				asked := time.Now()
+				began := time.Now()
 				revision = f.apply(fmt.Sprintf("c%d", i), revision, func(c *pb.Contract) { c.Weight = uint32(1 + i%2) })
 				if c.restart {
 					f.entries[0].Kill()
@@ -226,8 +226,8 @@
 					f.entries = f.entries[1:]
 					f.start()
 				}
-				f.until("in force", func() bool { return f.inForce(revision) })
-				took = append(took, time.Since(asked))
+				f.waitUntil("in force", func() bool { return f.inForce(revision) })
+				took = append(took, time.Since(began))
 			}
 			slices.Sort(took)
 			b.ReportMetric(float64(took[len(took)/2])/1e6, "p50-ms")
@@ -236,7 +236,7 @@
 	}
 }
 
-// BenchmarkExchange tells how large the messages between 3 entries are at rest.
+// BenchmarkExchange reports the size of the messages between 3 idle entries.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{41, 410} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -251,8 +251,8 @@
 					return e.Config().Snapshot().Covered() < last || e.Entry.ready() != nil
 				})
 			}
-			f.until("settled", settled)
-			// The division of the contracts settles in a few exchanges.
+			f.waitUntil("settled", settled)
+			// The entries agree on their shares of the contracts within a few exchanges.
 			time.Sleep(10 * time.Second)
 			from := f.entries[1]
 			state := f.entries[0].membership.Serve(from.membership.Serve(&pb.PeerState{Self: f.entries[0].Peer(), ConfigRevision: last}))
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -24,50 +24,52 @@
 // LeasedAgentOptions configure a LeasedAgent.
 type LeasedAgentOptions struct {
 	Settings settings.LeasedAgent
-	// Out takes the log.
+	// Out receives the log.
 	Out     io.Writer
 	Version string
 }
 
-// LeasedAgent is a whole agent process beside a worker with leases.
+// LeasedAgent is a complete agent process beside a worker that runs tasks under
+// leases.
 type LeasedAgent struct {
-	o       LeasedAgentOptions
+	opts    LeasedAgentOptions
 	log     *decisionlog.Log
 	logger  *slog.Logger
-	r       *runner.Runner
+	runner  *runner.Runner
 	records *workerrecord.Keeper
 	reports net.Listener
 	metrics *leasedMetrics
 }
 
-// NewLeasedAgent puts an agent together and binds its ports. Errors are of type
-// ErrStart.
+// NewLeasedAgent assembles an agent and binds the port for the worker's reports.
+// Errors are of type ErrStart.
 func NewLeasedAgent(o LeasedAgentOptions) (*LeasedAgent, error) {
 	s := o.Settings
-	times, err := timesOf(s.Bounds)
+	times, err := deriveTimes(s.Bounds)
 	if err != nil {
 		return nil, err
 	}
-	limitMemory(s.MemoryMB)
-	a := &LeasedAgent{o: o, log: decisionlog.New(o.Out, slog.String("process", s.Name)), metrics: newLeasedMetrics()}
+	setMemoryLimit(s.MemoryMB)
+	a := &LeasedAgent{opts: o, log: decisionlog.New(o.Out, slog.String("process", s.Name)), metrics: newLeasedMetrics()}
 	a.logger = slog.New(a.log.Handler())
 	if a.reports, err = net.Listen("tcp", s.ReportsListen); err != nil {
-		return nil, ErrStart.Wrap(err, "port for reports")
+		return nil, ErrStart.Wrap(err, "listen for the worker's reports")
 	}
 	incarnation := entry.NewIncarnation()
-	off, err := without.Parse(s.Without)
+	disabled, err := without.Parse(s.Without)
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "settings")
+		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
-	client := adapter.NewStore(s.StoreAddress, adapter.StoreOptions{OnCall: a.metrics.storeCall})
-	a.r = runner.New(runner.Options{
+	client := adapter.NewStore(s.StoreAddress, adapter.StoreOptions{OnCall: a.metrics.countStoreCall})
+	a.runner = runner.New(runner.Options{
 		Entries: s.Seeds, Worker: adapter.NewWorker(s.WorkerAddress, int(s.Connections)), Logger: a.logger,
-		OnFrame:     a.metrics.toEntry,
+		OnFrame:     a.metrics.countWorkerFrame,
 		FindEntries: func(ctx context.Context) ([]string, error) { return roster.Find(ctx, client) },
 		Core: corerunner.Options{
-			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLink(times),
-			// A later process beside the same worker starts at a later time of day.
-			Token: uint64(time.Now().UnixMilli()), Without: off, Decided: logRunner(a.log, a.metrics),
+			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLinkOptions(times),
+			// The start time is the fencing token: a later process beside the same worker
+			// has a higher one.
+			Token: uint64(time.Now().UnixMilli()), Without: disabled, Decided: runnerLogger(a.log, a.metrics),
 		},
 	})
 	a.records = workerrecord.New(workerrecord.Options{Store: client, Agent: s.Name, Logger: a.logger})
@@ -76,35 +78,35 @@
 	return a, nil
 }
 
-// Run serves until the context ends, then drains: nothing new is started, and what
-// runs may end within the grace.
+// Run serves until the context is cancelled, then drains: it starts no more runs, and
+// those in progress may end within the grace period.
 func (a *LeasedAgent) Run(ctx context.Context) error {
-	kept, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	bgCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	wg.Go(func() { a.log.Run(kept) })
-	scrapes, err := a.metrics.serve(a.o.Settings.MetricsListen)
+	wg.Go(func() { a.log.Run(bgCtx) })
+	metricsServer, err := a.metrics.serve(a.opts.Settings.MetricsListen)
 	if err != nil {
 		cancel()
 		return err
 	}
-	reports := &http.Server{Handler: adapter.NewReportsHandler(recordedReports{a.r, a.records}, a.logger), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	reportsServer := &http.Server{Handler: adapter.NewReportsHandler(recordingReports{a.runner, a.records}, a.logger), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	failed := make(chan error, 1)
-	go func() { failed <- serveHTTP(reports, a.reports) }()
-	go a.r.Run()
-	go a.recall(kept)
+	go func() { failed <- serveHTTP(reportsServer, a.reports) }()
+	go a.runner.Run()
+	go a.restoreWorker(bgCtx)
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
 		a.logger.Info("drain_begun")
-		a.r.Leave()
-		drained := rpc.Drain(a.o.Settings.Bounds.Grace-endBefore, a.r.Drained)
+		a.runner.Leave()
+		drained := rpc.Drain(a.opts.Settings.Bounds.Grace-closeReserve, a.runner.Drained)
 		a.logger.Info("drain_ended", "all_ended", drained)
 	}
-	a.r.Close()
-	if scrapes != nil {
-		_ = scrapes.Close()
+	a.runner.Close()
+	if metricsServer != nil {
+		_ = metricsServer.Close()
 	}
-	_ = reports.Close()
+	_ = reportsServer.Close()
 	a.logger.Info("process_stopped")
 	cancel()
 	wg.Wait()
@@ -114,23 +116,25 @@
 	return nil
 }
 
-// recall begins with the worker that is on record, and keeps the record from then on.
-func (a *LeasedAgent) recall(ctx context.Context) {
+// restoreWorker applies the stored record of the worker, then keeps the record up to
+// date until the context is cancelled.
+func (a *LeasedAgent) restoreWorker(ctx context.Context) {
 	if w, ok := a.records.Read(ctx); ok {
-		a.r.Recalled(w)
+		a.runner.Recalled(w)
 	}
 	a.records.Run(ctx)
 }
 
-// recordedReports passes a worker's reports on, and keeps them on record where they count.
-type recordedReports struct {
-	r       *runner.Runner
+// recordingReports passes a worker's reports to the runner, and records those that the
+// runner accepts.
+type recordingReports struct {
+	runner  *runner.Runner
 	records *workerrecord.Keeper
 }
 
 // Reported implements adapter.Reports.
-func (r recordedReports) Reported(w corerunner.Worker) bool {
-	ok := r.r.Reported(w)
+func (r recordingReports) Reported(w corerunner.Worker) bool {
+	ok := r.runner.Reported(w)
 	if ok {
 		r.records.Reported(w)
 	}
@@ -138,13 +142,14 @@
 }
 
 // Left implements adapter.Reports.
-func (r recordedReports) Left(id string) {
-	r.r.Left(id)
+func (r recordingReports) Left(id string) {
+	r.runner.Left(id)
 	r.records.Left(id)
 }
 
-// Reload takes in a replaced settings file.
+// Reload applies a replaced settings file. Only the list of seeds can change while
+// the process runs.
 func (a *LeasedAgent) Reload(s settings.LeasedAgent) {
-	a.r.Learn(s.Seeds)
+	a.runner.Learn(s.Seeds)
 	a.logger.Info("settings_reloaded", "seeds", len(s.Seeds))
 }
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -28,41 +28,44 @@
 // LeasedEntryOptions configure a LeasedEntry.
 type LeasedEntryOptions struct {
 	Settings settings.LeasedEntry
-	// Out takes the log.
+	// Out receives the log.
 	Out     io.Writer
 	Version string
 }
 
 const (
-	// headerBytes and headerTimeout bound callers before a configuration says
-	// otherwise; idleTimeout closes connections that are not used.
-	headerBytes   = 16 << 10
-	headerTimeout = 3 * time.Second
-	idleTimeout   = 15 * time.Second
-	// leaveAfter is how long a leaving entry still takes new connections: the
-	// balancer asks once a second and takes it out after two misses.
-	leaveAfter = 3200 * time.Millisecond
-	// endBefore is what is left of the grace for closing.
-	endBefore = 300 * time.Millisecond
-	// memoryPart is the part of the memory limit at which garbage is collected
-	// harder; what the process has not read yet counts as well.
-	memoryPart = 0.7
-	// entryGCPercent is how much an entry's heap grows between two collections, against
-	// what is in use: 10 to 30 MB, so there is room, and a small entry needs its
-	// processor in a burst more than its memory.
+	// maxHeaderBytes and headerTimeout limit the headers of requests until a
+	// configuration sets other limits. Connections idle for idleTimeout are closed.
+	maxHeaderBytes = 16 << 10
+	headerTimeout  = 3 * time.Second
+	idleTimeout    = 15 * time.Second
+	// shutdownDelay is how long a draining entry still accepts connections. The
+	// balancer checks readiness once a second, and removes an entry after two failed
+	// checks.
+	shutdownDelay = 3200 * time.Millisecond
+	// closeReserve is the end of the grace period, reserved for closing.
+	closeReserve = 300 * time.Millisecond
+	// memoryLimitFraction is the fraction of the process's memory limit that is set as
+	// the runtime's soft limit, above which garbage is collected more often. Data that
+	// the process has not read yet counts against the process's limit too.
+	memoryLimitFraction = 0.7
+	// entryGCPercent is how much an entry's heap grows between two collections, relative
+	// to the live heap. That is only 10 to 30 MB, and a small entry needs its processor
+	// time in a burst more than its memory.
 	entryGCPercent = 200
-	// followMin and followMax bound the wait after a failed call to the store. The
-	// configuration must be in force within seconds of a change.
-	followMin = 100 * time.Millisecond
-	followMax = 800 * time.Millisecond
-	// reportsPerCore is how many reports of agents' load a whole core takes in for
-	// about a twentieth of its time, at 15 us each.
+	// minStoreRetryWait and maxStoreRetryWait bound the wait after a failed call to the
+	// store. A changed configuration must be in force within seconds.
+	minStoreRetryWait = 100 * time.Millisecond
+	maxStoreRetryWait = 800 * time.Millisecond
+	// reportsPerCore is the number of agents' load reports that one core handles per
+	// second with about a twentieth of its time, at 15 us each.
 	reportsPerCore = 3000
 )
 
-// leasedLink are the times of links between entries and agents. A lost link stops
-// runs after a while, so it has to be noticed well before.
-func leasedLink(t bounds.Times) link.Options {
+// leasedLinkOptions returns the time-outs of links between entries and agents. An
+// agent stops the runs of a lost link once t.Silence has passed, so a broken link must
+// be detected well before that.
+func leasedLinkOptions(t bounds.Times) link.Options {
 	return link.Options{
 		AckDelay:         t.Silence / 8,
 		AckTimeout:       t.Silence * 3 / 4,
@@ -71,137 +74,138 @@
 	}
 }
 
-// LeasedEntry is a whole entry process for workers with leases.
+// LeasedEntry is a complete entry process for workers that run tasks under leases.
 type LeasedEntry struct {
-	o       LeasedEntryOptions
-	log     *decisionlog.Log
-	logger  *slog.Logger
-	d       *dispatcher.Dispatcher
-	roster  *roster.Roster
-	store   *adapter.Store
-	callers net.Listener
-	ready   net.Listener
-	leaving atomic.Bool
-	linked  atomic.Bool // an agent has been linked once
-	metrics *leasedMetrics
+	opts       LeasedEntryOptions
+	log        *decisionlog.Log
+	logger     *slog.Logger
+	dispatcher *dispatcher.Dispatcher
+	roster     *roster.Roster
+	store      *adapter.Store
+	callers    net.Listener
+	ready      net.Listener
+	leaving    atomic.Bool
+	everLinked atomic.Bool // an agent has been linked at least once
+	metrics    *leasedMetrics
 }
 
-// NewLeasedEntry puts an entry together and binds its ports. Errors are of type
-// ErrStart.
+// NewLeasedEntry assembles an entry and binds its ports. Errors are of type ErrStart.
 func NewLeasedEntry(o LeasedEntryOptions) (*LeasedEntry, error) {
 	s := o.Settings
-	times, err := timesOf(s.Bounds)
+	times, err := deriveTimes(s.Bounds)
 	if err != nil {
 		return nil, err
 	}
-	limitMemory(s.MemoryMB)
+	setMemoryLimit(s.MemoryMB)
 	debug.SetGCPercent(entryGCPercent)
-	e := &LeasedEntry{o: o, log: decisionlog.New(o.Out, slog.String("process", s.Name)), metrics: newLeasedMetrics()}
+	e := &LeasedEntry{opts: o, log: decisionlog.New(o.Out, slog.String("process", s.Name)), metrics: newLeasedMetrics()}
 	e.logger = slog.New(e.log.Handler())
 	incarnation := entry.NewIncarnation()
-	off, err := without.Parse(s.Without)
+	disabled, err := without.Parse(s.Without)
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "settings")
+		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
-	e.d, err = dispatcher.New(dispatcher.Options{
+	e.dispatcher, err = dispatcher.New(dispatcher.Options{
 		NodesListen: s.NodesListen, Address: s.Address(), Seeds: s.Seeds, Logger: e.logger,
-		OnFrame: e.metrics.toAgent, OnExchange: e.metrics.exchanges.Inc,
+		OnFrame: e.metrics.countOrderFrame, OnExchange: e.metrics.exchanges.Inc,
 		Core: coredispatcher.Options{
-			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLink(times),
+			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLinkOptions(times),
 			RemoteFactor: s.Bounds.RemoteFactor, ReportsPerSecond: reportsPerCore * s.ProcessorShare,
-			Random: rand.Float64, Without: off, Decided: logDispatcher(e.log, e.metrics),
+			Random: rand.Float64, Without: disabled, Decided: dispatcherLogger(e.log, e.metrics),
 		},
 	})
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "entry %s", s.Name)
 	}
 	if e.callers, err = net.Listen("tcp", s.CallersListen); err != nil {
-		return nil, ErrStart.Wrap(err, "callers' port")
+		return nil, ErrStart.Wrap(err, "listen for callers")
 	}
 	if e.ready, err = net.Listen("tcp", s.ReadyListen); err != nil {
-		return nil, ErrStart.Wrap(err, "port for readiness")
+		return nil, ErrStart.Wrap(err, "listen for readiness checks")
 	}
 	e.store = adapter.NewStore(s.StoreAddress, adapter.StoreOptions{
-		OnCall: e.metrics.storeCall, WatchWait: func() time.Duration { return watchWait(len(e.d.Entries()), rand.Float64()) },
+		OnCall: e.metrics.countStoreCall, WatchWait: func() time.Duration { return watchWait(len(e.dispatcher.Entries()), rand.Float64()) },
 	})
 	e.roster = roster.New(roster.Options{
 		Store: e.store, Name: s.Name, Address: s.Address(), Logger: e.logger,
-		ListEvery: func() time.Duration { return listEvery(len(e.d.Entries())) },
-		Alone:     func() bool { return len(e.d.Entries()) < 2 },
+		ListEvery: func() time.Duration { return listInterval(len(e.dispatcher.Entries())) },
+		Alone:     func() bool { return len(e.dispatcher.Entries()) < 2 },
 	})
 	e.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.Silence.Milliseconds(),
 		"lease_ms", times.Lease.Milliseconds(), "give_up_ms", times.GiveUp.Milliseconds())
 	return e, nil
 }
 
-func timesOf(b settings.Bounds) (bounds.Times, error) {
+func deriveTimes(b settings.Bounds) (bounds.Times, error) {
 	times, err := bounds.Derive(bounds.Given{Resend: b.Resend, MaxLease: b.MaxLease, Stop: b.Stop})
 	if err != nil {
-		return times, ErrStart.Wrap(err, "settings")
+		return times, ErrStart.Wrap(err, "invalid settings")
 	}
 	return times, nil
 }
 
-func limitMemory(mb uint32) {
+func setMemoryLimit(mb uint32) {
 	if mb > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(mb) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(mb) * (1 << 20)))
 	}
 }
 
-// readiness holds new connections back from an entry that could only refuse.
+// readiness returns why the entry could only refuse jobs, or nil if it can serve
+// them.
 func (e *LeasedEntry) readiness() error {
 	switch {
 	case e.leaving.Load():
 		return errNotReady.New("shutting down")
-	case !e.d.Configured():
+	case !e.dispatcher.Configured():
 		return errNotReady.New("no configuration yet")
-	case !e.linked.Load() && e.d.Links() == 0:
+	case !e.everLinked.Load() && e.dispatcher.Links() == 0:
 		return errNotReady.New("no agent linked yet")
 	}
-	e.linked.Store(true)
+	e.everLinked.Store(true)
 	return nil
 }
 
-// Run serves until the context ends, then drains: the balancer is told, requests
-// in hand and those that still come are answered, and agents are told at the end.
+// Run serves until the context is cancelled, then drains: the entry reports that it is
+// not ready, answers the requests in progress and those that still arrive, and notifies
+// the agents last.
 func (e *LeasedEntry) Run(ctx context.Context) error {
-	kept, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	bgCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	wg.Go(func() { e.log.Run(kept) })
-	go e.roster.Run(kept, e.d.Learn)
+	wg.Go(func() { e.log.Run(bgCtx) })
+	go e.roster.Run(bgCtx, e.dispatcher.Learn)
 	go func() {
-		_ = follow.Run(kept, e.store, adapter.OperatorPrefix, &operatorReader{e: e}, follow.Options{MinWait: followMin, MaxWait: followMax})
+		_ = follow.Run(bgCtx, e.store, adapter.OperatorPrefix, &operatorReader{entry: e}, follow.Options{MinWait: minStoreRetryWait, MaxWait: maxStoreRetryWait})
 	}()
-	jobs := &http.Server{
-		Handler: adapter.NewJobsHandler(e.d), MaxHeaderBytes: headerBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+	jobsServer := &http.Server{
+		Handler: adapter.NewJobsHandler(e.dispatcher), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(e.log.Handler(), slog.LevelWarn),
 	}
-	e.metrics.gauge("papayahoist_links", "Agents with a link.", func() float64 { return float64(e.d.Links()) })
-	e.metrics.gauge("papayahoist_open_jobs", "Jobs without an answer.", func() float64 { return float64(e.d.Open()) })
-	e.metrics.gauge("papayahoist_configuration_version", "Version in force.", func() float64 { return float64(e.d.Configuration().GetVersion()) })
-	e.metrics.gauge("papayahoist_evacuated_domains", "Failure domains known to be evacuated.", func() float64 { return float64(len(e.d.Evacuations().GetDomains())) })
-	scrapes, err := e.metrics.serve(e.o.Settings.MetricsListen)
+	e.metrics.registerGauge("papayahoist_links", "Linked agents.", func() float64 { return float64(e.dispatcher.Links()) })
+	e.metrics.registerGauge("papayahoist_open_jobs", "Admitted jobs that have not been answered yet.", func() float64 { return float64(e.dispatcher.Open()) })
+	e.metrics.registerGauge("papayahoist_configuration_version", "Version of the configuration in force.", func() float64 { return float64(e.dispatcher.Configuration().GetVersion()) })
+	e.metrics.registerGauge("papayahoist_evacuated_domains", "Number of evacuated failure domains.", func() float64 { return float64(len(e.dispatcher.Evacuations().GetDomains())) })
+	metricsServer, err := e.metrics.serve(e.opts.Settings.MetricsListen)
 	if err != nil {
 		cancel()
 		return err
 	}
-	ready := &http.Server{Handler: adapter.NewReadyHandler(e.readiness), ReadHeaderTimeout: headerTimeout}
+	readyServer := &http.Server{Handler: adapter.NewReadyHandler(e.readiness), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 3)
-	go func() { failed <- e.d.Serve() }()
-	go func() { failed <- serveHTTP(jobs, e.callers) }()
-	go func() { failed <- serveHTTP(ready, e.ready) }()
+	go func() { failed <- e.dispatcher.Serve() }()
+	go func() { failed <- serveHTTP(jobsServer, e.callers) }()
+	go func() { failed <- serveHTTP(readyServer, e.ready) }()
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
-		e.drain(jobs)
+		e.drain(jobsServer)
 	}
-	e.d.Close()
-	if scrapes != nil {
-		_ = scrapes.Close()
+	e.dispatcher.Close()
+	if metricsServer != nil {
+		_ = metricsServer.Close()
 	}
-	_ = ready.Close()
-	_ = jobs.Close()
-	e.logger.Info("process_stopped", "open_jobs", e.d.Open())
+	_ = readyServer.Close()
+	_ = jobsServer.Close()
+	e.logger.Info("process_stopped", "open_jobs", e.dispatcher.Open())
 	cancel()
 	wg.Wait()
 	if err != nil {
@@ -217,29 +221,29 @@
 	return nil
 }
 
-func (e *LeasedEntry) drain(jobs *http.Server) {
-	began := time.Now()
+func (e *LeasedEntry) drain(jobsServer *http.Server) {
+	start := time.Now()
 	e.leaving.Store(true)
-	e.logger.Info("drain_begun", "open_jobs", e.d.Open())
-	grace := e.o.Settings.Bounds.Grace - endBefore
-	e.d.Leave(grace)
+	e.logger.Info("drain_begun", "open_jobs", e.dispatcher.Open())
+	grace := e.opts.Settings.Bounds.Grace - closeReserve
+	e.dispatcher.Leave(grace)
 	e.roster.Leave()
-	// Each answer from now on closes its connection, so that its caller goes
-	// elsewhere.
-	jobs.SetKeepAlivesEnabled(false)
-	time.Sleep(min(leaveAfter, grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace))
+	// Each answer from now on closes its connection, so that the caller connects to
+	// another entry.
+	jobsServer.SetKeepAlivesEnabled(false)
+	time.Sleep(min(shutdownDelay, grace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(grace))
 	defer cancel()
-	if err := jobs.Shutdown(ctx); err != nil {
-		e.logger.Warn("drain_cut", "open_jobs", e.d.Open())
+	if err := jobsServer.Shutdown(ctx); err != nil {
+		e.logger.Warn("drain_cut", "open_jobs", e.dispatcher.Open())
 		return
 	}
-	e.logger.Info("drain_ended", "elapsed_ms", time.Since(began).Milliseconds())
+	e.logger.Info("drain_ended", "elapsed_ms", time.Since(start).Milliseconds())
 }
 
-// Reload takes in a replaced settings file: what can change while running is the
-// list of seeds.
+// Reload applies a replaced settings file. Only the list of seeds can change while
+// the process runs.
 func (e *LeasedEntry) Reload(s settings.LeasedEntry) {
-	e.d.Learn(s.Seeds)
+	e.dispatcher.Learn(s.Seeds)
 	e.logger.Info("settings_reloaded", "seeds", len(s.Seeds))
 }
--- a/node/process/leased_log.go
+++ b/node/process/leased_log.go
@@ -10,7 +10,7 @@
 	"github.com/papayahoist/papayahoist/node/decisionlog"
 )
 
-// attrs collects the fields of a line that are set.
+// attrs collects the attributes of a log line. Zero values are omitted.
 type attrs []slog.Attr
 
 func (a *attrs) text(key, value string) {
@@ -25,30 +25,30 @@
 	}
 }
 
-// millis keeps a tenth of a millisecond.
+// millis adds d in milliseconds, rounded to a tenth.
 func (a *attrs) millis(key string, d time.Duration) {
 	if d != 0 {
 		*a = append(*a, slog.Float64(key, float64(d.Round(100*time.Microsecond).Microseconds())/1000))
 	}
 }
 
-func (a *attrs) free(s size.Size) {
+func (a *attrs) freeCapacity(s size.Size) {
 	if s != (size.Size{}) {
 		*a = append(*a, slog.Int64("free_cpu", s.CPUMillis))
 	}
 }
 
-// routineEvents are those of work that goes as it should.
+// routineEvents are the events of work that proceeds normally.
 var routineEvents = map[string]bool{"task_ordered": true, "run_ended": true, "run_started": true, "run_done": true}
 
-func logDispatcher(l *decisionlog.Log, m *leasedMetrics) func(dispatcher.Decision) {
+func dispatcherLogger(l *decisionlog.Log, m *leasedMetrics) func(dispatcher.Decision) {
 	return func(d dispatcher.Decision) {
-		m.decided(d.Event, d.Reason)
+		m.countDecision(d.Event, d.Reason)
 		switch d.Event {
 		case "job_answered":
 			m.jobs.WithLabelValues(d.Outcome).Observe(d.Elapsed.Seconds())
 		case "task_ordered":
-			m.waits.Observe(d.Elapsed.Seconds())
+			m.orderWaits.Observe(d.Elapsed.Seconds())
 		case "run_ended":
 			m.runs.WithLabelValues(d.Outcome).Observe(d.Elapsed.Seconds())
 		}
@@ -66,7 +66,7 @@
 		a.millis("age_ms", d.Age)
 		a.millis("elapsed_ms", d.Elapsed)
 		a.number("waiting", uint64(d.Waiting))
-		a.free(d.Free)
+		a.freeCapacity(d.Free)
 		a.millis("retry_ms", d.Retry)
 		a.number("tasks", uint64(d.Tasks))
 		a.millis("longest_ms", d.Longest)
@@ -76,9 +76,9 @@
 	}
 }
 
-func logRunner(l *decisionlog.Log, m *leasedMetrics) func(runner.Decision) {
+func runnerLogger(l *decisionlog.Log, m *leasedMetrics) func(runner.Decision) {
 	return func(d runner.Decision) {
-		m.decided(d.Event, d.Reason)
+		m.countDecision(d.Event, d.Reason)
 		var a attrs
 		a.text("task", d.Task)
 		a.number("run", uint64(d.Run))
@@ -87,7 +87,7 @@
 		a.text("reason", d.Reason)
 		a.millis("age_ms", d.Age)
 		a.millis("elapsed_ms", d.Elapsed)
-		a.free(d.Free)
+		a.freeCapacity(d.Free)
 		l.Add(decisionlog.Line{At: time.Now(), Event: d.Event, Attrs: a}, routineEvents[d.Event])
 	}
 }
--- a/node/process/leased_metrics.go
+++ b/node/process/leased_metrics.go
@@ -13,21 +13,21 @@
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// leasedMetrics counts what an entry or agent for leased workers decides. Labels are
-// names of events and reasons, of which there are a few dozen.
+// leasedMetrics are the metrics of an entry or agent for leased workers. Label values
+// are names of events and reasons, of which there are a few dozen.
 type leasedMetrics struct {
-	registry  *prometheus.Registry
-	decisions *prometheus.CounterVec
-	jobs      *prometheus.HistogramVec
-	waits     prometheus.Histogram
-	runs      *prometheus.HistogramVec
-	calls     *prometheus.CounterVec
-	frames    *prometheus.CounterVec
-	exchanges prometheus.Counter
+	registry   *prometheus.Registry
+	decisions  *prometheus.CounterVec
+	jobs       *prometheus.HistogramVec
+	orderWaits prometheus.Histogram
+	runs       *prometheus.HistogramVec
+	storeCalls *prometheus.CounterVec
+	frames     *prometheus.CounterVec
+	exchanges  prometheus.Counter
 }
 
-// secondsBuckets lie around the objectives of sub-second tasks.
-var secondsBuckets = []float64{.005, .01, .02, .05, .1, .2, .5, 1, 2, 5}
+// durationBuckets are in seconds, around the latency objectives of sub-second tasks.
+var durationBuckets = []float64{.005, .01, .02, .05, .1, .2, .5, 1, 2, 5}
 
 func newLeasedMetrics() *leasedMetrics {
 	m := &leasedMetrics{
@@ -36,59 +36,60 @@
 			Name: "papayahoist_decisions_total", Help: "Decisions, by event and reason.",
 		}, []string{"event", "reason"}),
 		jobs: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "papayahoist_job_seconds", Help: "Time from a job's arrival to its answer, by outcome.", Buckets: secondsBuckets,
+			Name: "papayahoist_job_seconds", Help: "Time from a job's arrival to its answer, by outcome.", Buckets: durationBuckets,
 		}, []string{"outcome"}),
-		waits: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "papayahoist_order_wait_seconds", Help: "Time from a job's arrival until a task was ordered.", Buckets: secondsBuckets,
+		orderWaits: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: "papayahoist_order_wait_seconds", Help: "Time from a job's arrival until a task was ordered.", Buckets: durationBuckets,
 		}),
 		runs: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "papayahoist_run_seconds", Help: "How long runs lasted, by how they ended.", Buckets: secondsBuckets,
+			Name: "papayahoist_run_seconds", Help: "Duration of runs, by outcome.", Buckets: durationBuckets,
 		}, []string{"outcome"}),
-		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
+		storeCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "papayahoist_store_calls_total", Help: "Calls to the platform's store, by kind and result.",
 		}, []string{"kind", "result"}),
 		frames: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "papayahoist_frames_total", Help: "Frames sent on links between entries and agents, by what they carry.",
+			Name: "papayahoist_frames_total", Help: "Frames sent on links between entries and agents, by kind of content.",
 		}, []string{"kind"}),
 		exchanges: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "papayahoist_exchanges_total", Help: "Exchanges with other entries that this entry began.",
 		}),
 	}
-	m.registry.MustRegister(m.decisions, m.jobs, m.waits, m.runs, m.calls, m.frames, m.exchanges, collectors.NewGoCollector(),
+	m.registry.MustRegister(m.decisions, m.jobs, m.orderWaits, m.runs, m.storeCalls, m.frames, m.exchanges, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
 
-// gauge shows a figure that is read at each scrape.
-func (m *leasedMetrics) gauge(name, help string, f func() float64) {
+// registerGauge registers a gauge that calls f at each scrape.
+func (m *leasedMetrics) registerGauge(name, help string, f func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, f))
 }
 
-// decided counts one decision. A reason may end in details of another system's, which
-// would make a series each.
-func (m *leasedMetrics) decided(event, reason string) {
+// countDecision counts one decision. Details after a colon in the reason may come from
+// another system; they are cut off, since each would create a time series.
+func (m *leasedMetrics) countDecision(event, reason string) {
 	reason, _, _ = strings.Cut(reason, ":")
 	m.decisions.WithLabelValues(event, reason).Inc()
 }
 
-func (m *leasedMetrics) storeCall(kind string, _ time.Duration, err error) {
+func (m *leasedMetrics) countStoreCall(kind string, _ time.Duration, err error) {
 	result := "answered"
 	if err != nil {
 		result = "failed"
 	}
-	m.calls.WithLabelValues(kind, result).Inc()
+	m.storeCalls.WithLabelValues(kind, result).Inc()
 }
 
-// Kinds of frames. One that carries several things counts as the first of them.
+// Kinds of frames. A frame with several kinds of content counts as the first of them
+// that countOrderFrame or countWorkerFrame checks.
 const (
 	frameOrders    = "orders"
-	frameNews      = "news"
+	frameUpdates   = "news"
 	frameReport    = "report"
 	frameEntries   = "entries"
-	frameHeartbeat = "heartbeat" // also acknowledgements, and word that runs may go on
+	frameHeartbeat = "heartbeat" // also acknowledgements and permissions for runs to go on
 )
 
-func (m *leasedMetrics) toAgent(f *pb.OrderFrame) {
+func (m *leasedMetrics) countOrderFrame(f *pb.OrderFrame) {
 	kind := frameHeartbeat
 	switch {
 	case len(f.Orders) > 0 || len(f.Stops) > 0:
@@ -99,25 +100,25 @@
 	m.frames.WithLabelValues(kind).Inc()
 }
 
-func (m *leasedMetrics) toEntry(f *pb.WorkerFrame) {
+func (m *leasedMetrics) countWorkerFrame(f *pb.WorkerFrame) {
 	kind := frameHeartbeat
 	switch {
 	case len(f.News) > 0:
-		kind = frameNews
+		kind = frameUpdates
 	case f.State != nil:
 		kind = frameReport
 	}
 	m.frames.WithLabelValues(kind).Inc()
 }
 
-// serve serves the metrics at the address; empty: not at all.
+// serve serves the metrics at the address. If that is empty, it returns nil, nil.
 func (m *leasedMetrics) serve(address string) (*http.Server, error) {
 	if address == "" {
 		return nil, nil
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "port for metrics")
+		return nil, ErrStart.Wrap(err, "listen for metrics scrapes")
 	}
 	s := &http.Server{Handler: promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = serveHTTP(s, l) }()
--- a/node/process/leased_operator.go
+++ b/node/process/leased_operator.go
@@ -9,27 +9,28 @@
 	"github.com/papayahoist/papayahoist/platform/store"
 )
 
-// operatorReader takes what operators write from the platform's store: the
-// configuration, and which failure domains are evacuated.
+// operatorReader applies what operators write to the platform's store: the
+// configuration and the set of evacuated failure domains.
 type operatorReader struct {
-	e         *LeasedEntry
+	entry     *LeasedEntry
 	evacuated map[string]bool
 }
 
 // Snapshot implements follow.Reader.
-func (r *operatorReader) Snapshot(items []store.Item, at store.Revision) {
+func (r *operatorReader) Snapshot(items []store.Item, revision store.Revision) {
 	r.evacuated = map[string]bool{}
 	for _, i := range items {
 		if domain, ok := adapter.EvacuatedDomain(i.Key); ok {
 			r.evacuated[domain] = true
 		}
 	}
-	// Before the configuration: an entry that takes jobs must know of both.
-	r.setEvacuations(at)
+	// Evacuations precede the configuration: an entry accepts jobs once it has a
+	// configuration, and must know the evacuations by then.
+	r.setEvacuations(revision)
 	for _, i := range items {
-		r.take(i)
+		r.applyConfiguration(i)
 	}
-	r.e.logger.Info("store_read", "revision", uint64(at), "items", len(items))
+	r.entry.logger.Info("store_read", "revision", uint64(revision), "items", len(items))
 }
 
 // Changes implements follow.Reader.
@@ -41,38 +42,39 @@
 			continue
 		}
 		if !v.Deleted {
-			r.take(v.Item)
+			r.applyConfiguration(v.Item)
 		}
 	}
 }
 
-func (r *operatorReader) setEvacuations(at store.Revision) {
-	m := &pb.Evacuations{Revision: uint64(at)}
+func (r *operatorReader) setEvacuations(revision store.Revision) {
+	m := &pb.Evacuations{Revision: uint64(revision)}
 	for _, domain := range slices.Sorted(maps.Keys(r.evacuated)) {
 		if r.evacuated[domain] {
 			m.Domains = append(m.Domains, domain)
 		}
 	}
-	r.e.d.SetEvacuations(m)
+	r.entry.dispatcher.SetEvacuations(m)
 }
 
-// take puts a version in force. What can't be read leaves the one in force as it is.
-func (r *operatorReader) take(i store.Item) {
-	if i.Key != adapter.ConfigurationKey {
+// applyConfiguration puts a version of the configuration in force. If it can't be
+// decoded, the version in force stays.
+func (r *operatorReader) applyConfiguration(item store.Item) {
+	if item.Key != adapter.ConfigurationKey {
 		return
 	}
-	c, err := adapter.DecodeConfiguration(i.Value)
+	c, err := adapter.DecodeConfiguration(item.Value)
 	if err != nil {
-		r.e.logger.Error("configuration_unreadable", "revision", uint64(i.Revision), "err", err)
+		r.entry.logger.Error("configuration_unreadable", "revision", uint64(item.Revision), "err", err)
 		return
 	}
-	if r.e.d.SetConfiguration(c) {
-		r.e.logger.Info("configuration_in_force", "version", c.Version, "revision", uint64(i.Revision), "queues", len(c.Queues))
+	if r.entry.dispatcher.SetConfiguration(c) {
+		r.entry.logger.Info("configuration_in_force", "version", c.Version, "revision", uint64(item.Revision), "queues", len(c.Queues))
 	}
 }
 
 // Lost implements follow.Reader.
-func (r *operatorReader) Lost(err error) { r.e.logger.Warn("store_lost", "err", err) }
+func (r *operatorReader) Lost(err error) { r.entry.logger.Warn("store_lost", "err", err) }
 
 // Reached implements follow.Reader.
 func (r *operatorReader) Reached() {}
--- a/node/process/leased_test.go
+++ b/node/process/leased_test.go
@@ -19,17 +19,17 @@
 	"github.com/papayahoist/papayahoist/platform/adapter/standin"
 )
 
-// leasedSite is a store, entries, and agents with their workers, over sockets.
+// leasedSite runs a store, entries, and agents with their workers, over sockets.
 type leasedSite struct {
 	t       *testing.T
 	store   *standin.Store
 	entries []*leasedProcess
 	agents  []*leasedProcess
 	workers []*standin.Worker
-	watch   runWatch
+	tracker runTracker
 }
 
-// leasedProcess is one entry or agent that runs.
+// leasedProcess is one running entry or agent.
 type leasedProcess struct {
 	callers string
 	ready   string
@@ -37,42 +37,42 @@
 	ended   chan error
 }
 
-// runWatch sees which runs go on at once.
-type runWatch struct {
-	mu      sync.Mutex
-	running map[string]int
-	doubled []string
-	began   int
-	at      map[string]int // by worker
-	jobs    int
+// runTracker counts the runs that workers start and detects tasks with two runs at a time.
+type runTracker struct {
+	mu          sync.Mutex
+	running     map[string]int
+	overlapping []string
+	started     int
+	startedBy   map[string]int // by worker
+	lastJob     int
 }
 
-func (w *runWatch) beganAt(worker string) int {
+func (w *runTracker) startedOn(worker string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.at[worker]
+	return w.startedBy[worker]
 }
 
-// next is the number of a new job.
-func (s *leasedSite) next() int {
-	s.watch.mu.Lock()
-	defer s.watch.mu.Unlock()
-	s.watch.jobs++
-	return s.watch.jobs
+// nextJob returns the number of a new job.
+func (s *leasedSite) nextJob() int {
+	s.tracker.mu.Lock()
+	defer s.tracker.mu.Unlock()
+	s.tracker.lastJob++
+	return s.tracker.lastJob
 }
 
-func (w *runWatch) start(worker, task string, run uint32) {
+func (w *runTracker) start(worker, task string, run uint32) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.began++
-	w.at[worker]++
+	w.started++
+	w.startedBy[worker]++
 	w.running[task]++
 	if w.running[task] > 1 {
-		w.doubled = append(w.doubled, fmt.Sprintf("%s run %d", task, run))
+		w.overlapping = append(w.overlapping, fmt.Sprintf("%s run %d", task, run))
 	}
 }
 
-func (w *runWatch) end(task string, _ uint32, _ string) {
+func (w *runTracker) end(task string, _ uint32, _ string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running[task]--
@@ -89,7 +89,7 @@
 }
 
 func newLeasedSite(t *testing.T, entries, agents int) *leasedSite {
-	s := &leasedSite{t: t, store: standin.NewStore(), watch: runWatch{running: map[string]int{}, at: map[string]int{}}}
+	s := &leasedSite{t: t, store: standin.NewStore(), tracker: runTracker{running: map[string]int{}, startedBy: map[string]int{}}}
 	server := httptest.NewServer(s.store)
 	t.Cleanup(server.Close)
 	storeAddress := strings.TrimPrefix(server.URL, "http://")
@@ -113,7 +113,7 @@
 	s.t.Cleanup(stop)
 }
 
-// domainOf is the failure domain of an agent.
+// domainOf returns the failure domain of an agent.
 func domainOf(i int) string { return []string{"hall", "shed"}[i%2] }
 
 var leasedBounds = settings.Bounds{Resend: 1300 * time.Millisecond, MaxLease: time.Second, Stop: 50 * time.Millisecond, Grace: 4 * time.Second}
@@ -140,7 +140,7 @@
 			d, _ := time.ParseDuration(spec)
 			return d
 		},
-		Began: func(task string, run uint32, _ string) { s.watch.start(id, task, run) }, Ended: s.watch.end,
+		Began: func(task string, run uint32, _ string) { s.tracker.start(id, task, run) }, Ended: s.tracker.end,
 	})
 	server := httptest.NewServer(w)
 	s.t.Cleanup(server.Close)
@@ -171,13 +171,13 @@
 	s.store.Put(adapter.ConfigurationKey, text)
 }
 
-// until waits for a state; the test's own time limit ends it.
-func (s *leasedSite) until(what string, ok func() bool) {
+// waitUntil polls waitUntil the condition holds; the test's time limit bounds it.
+func (s *leasedSite) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
 	for !ok() {
 		select {
 		case <-s.t.Context().Done():
-			s.t.Fatalf("waited for %s", what)
+			s.t.Fatalf("test ended while waiting for %s", what)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -195,7 +195,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// ready reports whether the entry says so and its job would be taken.
+// ready reports whether the entry reports itself ready and serves a job.
 func (s *leasedSite) ready(p *leasedProcess) bool {
 	resp, err := http.Get("http://" + p.ready + "/papayahoist/readiness")
 	if err != nil {
@@ -223,7 +223,7 @@
 	}
 	s.configure(3, "/stamps/")
 	for _, e := range s.entries {
-		s.until("an entry to be ready", func() bool { return s.ready(e) })
+		s.waitUntil("an entry to be ready", func() bool { return s.ready(e) })
 	}
 	var wg sync.WaitGroup
 	for i := range 20 {
@@ -235,27 +235,28 @@
 		})
 	}
 	wg.Wait()
-	if len(s.watch.doubled) > 0 {
-		t.Errorf("ran twice at a time: %v", s.watch.doubled)
+	if len(s.tracker.overlapping) > 0 {
+		t.Errorf("ran twice at a time: %v", s.tracker.overlapping)
 	}
 }
 
-// Operators drop a queue and add another. Every entry must go by the new version,
-// also one that the store turns away, and never go back.
-func TestLeasedSiteTakesChangesWithoutTheStore(t *testing.T) {
+// Operators remove a queue and add another, then write an unreadable and an older
+// version, and the store becomes busy. Every entry must apply the new version and keep
+// it.
+func TestLeasedSiteAppliesChangesWithoutStore(t *testing.T) {
 	s := newLeasedSite(t, 2, 1)
 	s.configure(3, "/stamps/")
 	for _, e := range s.entries {
-		s.until("an entry to be ready", func() bool { return s.ready(e) })
+		s.waitUntil("an entry to be ready", func() bool { return s.ready(e) })
 	}
 	s.configure(9, "/grades/")
 	for _, e := range s.entries {
-		s.until("the new version", func() bool {
+		s.waitUntil("the new version", func() bool {
 			status, _ := s.call(e, http.MethodGet, "/grades/", "")
 			return status == http.StatusOK
 		})
 		if status, _ := s.call(e, http.MethodGet, "/stamps/", ""); status != http.StatusNotFound {
-			t.Errorf("status %d of the dropped queue, want 404", status)
+			t.Errorf("status %d for the removed queue, want 404", status)
 		}
 	}
 	s.store.Put(adapter.ConfigurationKey, []byte("\x00 no configuration"))
@@ -268,53 +269,53 @@
 	}
 }
 
-// An operator evacuates a failure domain, and restores it later. Its worker gets nothing
-// meanwhile from any entry, also after the store has forgotten its history, jobs are
-// served by the others, and from the restoring on it is used again.
+// An operator evacuates a failure domain and restores it later. In between no entry may
+// start tasks on its worker, even after the store has dropped its history of changes;
+// the other domain serves the jobs. Once restored, the worker must be used again.
 func TestLeasedDomainIsEvacuated(t *testing.T) {
 	s := newLeasedSite(t, 2, 2)
 	s.configure(3, "/stamps/")
-	s.until("both entries to be ready", func() bool { return s.ready(s.entries[0]) && s.ready(s.entries[1]) })
+	s.waitUntil("both entries to be ready", func() bool { return s.ready(s.entries[0]) && s.ready(s.entries[1]) })
 	key := adapter.EvacuationKey("shed")
-	// serve sends each entry a job with as many tasks as one worker has room for, and
-	// reports whether the worker in the domain was used.
+	// serve sends each entry a job with as many tasks as one worker has capacity for, and
+	// reports whether the worker in the evacuated domain was used.
 	serve := func() (used bool) {
-		before := s.watch.beganAt("w1")
+		before := s.tracker.startedOn("w1")
 		for _, e := range s.entries {
-			s.call(e, http.MethodPost, fmt.Sprintf("/stamps/%016x", s.next()), leasedJob(8, 5*time.Millisecond))
+			s.call(e, http.MethodPost, fmt.Sprintf("/stamps/%016x", s.nextJob()), leasedJob(8, 5*time.Millisecond))
 		}
-		return s.watch.beganAt("w1") > before
+		return s.tracker.startedOn("w1") > before
 	}
-	s.until("the worker to be used", serve)
+	s.waitUntil("the worker to be used", serve)
 	s.store.Put(key, []byte("{}"))
-	s.until("the worker to be left", func() bool { return !serve() })
+	s.waitUntil("the worker to be unused", func() bool { return !serve() })
 	s.store.DropHistory()
-	other := s.watch.beganAt("w0")
+	otherBefore := s.tracker.startedOn("w0")
 	for range 5 {
 		if serve() {
 			t.Error("something was started in the evacuated domain")
 		}
 	}
-	if s.watch.beganAt("w0") == other {
+	if s.tracker.startedOn("w0") == otherBefore {
 		t.Error("nothing was served by the other domain")
 	}
 	s.store.Remove(key)
-	s.until("the worker to be used again", serve)
+	s.waitUntil("the worker to be used again", serve)
 }
 
-// The platform stops an entry while it has a job. The caller must get its answer, and
-// the process must end by itself.
+// The platform stops an entry that has a job in flight. The caller must get its answer,
+// and the process must end by itself.
 func TestLeasedEntryAnswersBeforeItStops(t *testing.T) {
 	s := newLeasedSite(t, 1, 1)
 	s.configure(3, "/stamps/")
 	e := s.entries[0]
-	s.until("the entry to be ready", func() bool { return s.ready(e) })
+	s.waitUntil("the entry to be ready", func() bool { return s.ready(e) })
 	answered := make(chan int, 1)
 	go func() {
 		status, _ := s.call(e, http.MethodPost, "/stamps/00000000000000aa", leasedJob(2, 300*time.Millisecond))
 		answered <- status
 	}()
-	s.until("the job to run", func() bool { return s.workers[0].Running() == 2 })
+	s.waitUntil("the job to run", func() bool { return s.workers[0].Running() == 2 })
 	e.stop()
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("status %d, want 200", status)
@@ -324,22 +325,22 @@
 	}
 }
 
-// A worker says that it leaves. Its agent takes nothing more, and the jobs run on the
-// other worker.
+// Both workers of a site drain. From then on the entry must refuse jobs and start nothing
+// on them.
 func TestLeasedWorkerDrains(t *testing.T) {
 	s := newLeasedSite(t, 1, 2)
 	s.configure(3, "/stamps/")
 	e := s.entries[0]
-	s.until("the entry to be ready", func() bool { return s.ready(e) })
+	s.waitUntil("the entry to be ready", func() bool { return s.ready(e) })
 	s.workers[0].Drain()
 	s.workers[1].Drain()
-	s.until("both workers to drain", func() bool {
+	s.waitUntil("both workers to drain", func() bool {
 		status, _ := s.call(e, http.MethodPost, "/stamps/00000000000000ab", leasedJob(1, time.Millisecond))
 		return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	})
-	before := s.watch.began
+	before := s.tracker.started
 	s.call(e, http.MethodPost, "/stamps/00000000000000ac", leasedJob(1, time.Millisecond))
-	if s.watch.began != before {
+	if s.tracker.started != before {
 		t.Error("something was started on a draining worker")
 	}
 }
--- a/node/process/log_test.go
+++ b/node/process/log_test.go
@@ -13,9 +13,9 @@
 	"github.com/papayahoist/papayahoist/node/metrics"
 )
 
-// A fault storm makes a process log thousands of lines at once. Operators see
-// the first of them, and from the counters that there were more.
-func TestLinesAreBoundedAndCounted(t *testing.T) {
+// A burst of faults makes a process log thousands of lines at once. The first of them
+// must be written, and the counters must show how many were suppressed.
+func TestLogLinesAreLimitedAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	m := metrics.NewAgent(prometheus.NewRegistry(), metrics.Options{})
 	log := newLogger(slog.New(slog.NewTextHandler(&out, nil)), "agent-1", m.Process)
--- a/node/process/process_test.go
+++ b/node/process/process_test.go
@@ -23,7 +23,7 @@
 
 const loopback = "127.0.0.1:0"
 
-// site is processes with stand-ins of the platform, over loopback.
+// site runs processes on the loopback interface, with stand-ins for the platform.
 type site struct {
 	t               *testing.T
 	store, endpoint string // addresses
@@ -38,8 +38,8 @@
 	return &site{t: t, store: serve(kv.New(kv.Options{})), endpoint: serve(standin.NewWorker(standin.Options{}).Handler())}
 }
 
-// run runs a process until the returned function is called, which waits for its
-// drain.
+// run runs a process until the returned function is called. That function waits until
+// the process has drained.
 func (s *site) run(run func(context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -79,7 +79,7 @@
 	return a, s.run(a.Run)
 }
 
-// await polls until a condition holds; the test's own deadline bounds it.
+// await polls until the condition holds; the test's time limit bounds it.
 func (s *site) await(holds func() bool) {
 	for !holds() {
 		time.Sleep(5 * time.Millisecond)
@@ -103,12 +103,12 @@
 	return response.StatusCode
 }
 
-// An agent joins through one entry, another entry starts later, and the first is
-// replaced. The agent must serve each of them without new settings: otherwise an
-// entry has callers and no workers, and answers them with "deadline exceeded".
-// The entries find the store although the first address in their settings is
+// An agent joins through one entry, a second entry starts later, and the first is
+// replaced. The agent must link to each of them without new settings: otherwise an
+// entry has callers but no workers, and answers them with "deadline exceeded". The
+// entries must also reach the store although the first address in their settings is
 // dead.
-func TestAgentMeetsEveryEntry(t *testing.T) {
+func TestAgentLinksToEveryEntry(t *testing.T) {
 	s := newSite(t)
 	editor := config.NewEditor(etcdv3.New("http://"+s.store, etcdv3.Options{}), config.EditorOptions{})
 	first, stopFirst := s.entry("entry-1")
@@ -139,8 +139,9 @@
 	stopThird()
 }
 
-// The store is unreachable when an entry starts. It has no contracts then, and
-// would refuse every caller as unknown; the balancer must not send it any.
+// The store is unreachable when an entry starts, so the entry has no contracts and
+// would refuse every job for an unknown contract. It must not be ready, so that the
+// balancer sends it no callers.
 func TestEntryWithoutContractsIsNotReady(t *testing.T) {
 	s := newSite(t)
 	s.store = "127.0.0.1:2"
--- a/node/process/store.go
+++ b/node/process/store.go
@@ -11,7 +11,7 @@
 	"github.com/papayahoist/papayahoist/platform/store/etcdv3"
 )
 
-// storeCalls maps the store client's kinds of calls to those of the metrics.
+// storeCalls maps the kinds of calls of the store's client to those of the metrics.
 var storeCalls = map[etcdv3.Kind]metrics.StoreCall{
 	etcdv3.KindRead:  metrics.StoreGet,
 	etcdv3.KindWrite: metrics.StoreWrite,
@@ -19,38 +19,38 @@
 	etcdv3.KindWatch: metrics.StoreWatch,
 }
 
-// newStore returns a client of the store at any of the addresses.
-func newStore(addresses []string, transport http.RoundTripper, m *metrics.Entry) *etcdv3.Client {
-	spread := &failover{addresses: addresses, next: transport}
+// newStoreClient returns a client of the store that fails over between the addresses.
+func newStoreClient(addresses []string, transport http.RoundTripper, m *metrics.Entry) *etcdv3.Client {
+	roundTripper := &failover{addresses: addresses, next: transport}
 	return etcdv3.New("http://"+addresses[0], etcdv3.Options{
-		HTTPClient: &http.Client{Transport: spread},
+		HTTPClient: &http.Client{Transport: roundTripper},
 		OnCall: func(kind etcdv3.Kind, took time.Duration, err error) {
 			m.StoreCall(storeCalls[kind], took, err)
 		},
 	})
 }
 
-// failover sends requests to one address until a call fails there, and then to
-// the next: a member of the store that died would otherwise look like an outage
-// of the whole store for as long as it is down.
+// failover sends requests to one address until a call to it fails, and then to the
+// next. Otherwise a failed member of the store would look like an outage of the
+// whole store for as long as it is down.
 type failover struct {
 	addresses []string
 	next      http.RoundTripper
 	current   atomic.Uint64
 }
 
-// RoundTrip implements http.RoundTripper. It repeats nothing.
+// RoundTrip implements http.RoundTripper. It does not retry.
 func (f *failover) RoundTrip(r *http.Request) (*http.Response, error) {
-	at := f.current.Load()
-	address := f.addresses[at%uint64(len(f.addresses))]
+	index := f.current.Load()
+	address := f.addresses[index%uint64(len(f.addresses))]
 	if r.URL.Host != address {
 		r = r.Clone(r.Context())
 		r.URL.Host, r.Host = address, ""
 	}
 	response, err := f.next.RoundTrip(r)
-	// A call that timed out counts as failed, one that was given up doesn't.
+	// A call that timed out counts as failed, one that its caller cancelled doesn't.
 	if err != nil && !errors.Is(r.Context().Err(), context.Canceled) {
-		f.current.CompareAndSwap(at, at+1)
+		f.current.CompareAndSwap(index, index+1)
 	}
 	return response, err
 }
--- a/node/process/turns_test.go
+++ b/node/process/store_intervals_test.go
@@ -9,21 +9,21 @@
 	"github.com/papayahoist/papayahoist/platform/adapter"
 )
 
-// Each entry opened its watch anew every 0.7 s and listed all entries every ten seconds,
-// however many entries there were: calls grew with their number, rows with its square.
+// With a fixed interval for watches (0.7 s) and lists (10 s) of each entry, the store's
+// calls grow with the number of entries, and the rows it returns with the square.
 func TestCallsAtRestDoNotGrowWithEntries(t *testing.T) {
 	rate := func(n int, every time.Duration) float64 { return float64(n) / every.Seconds() }
 	for _, n := range []int{1, 3, 14, 55, 150} {
 		if got := rate(n, watchWait(n, 0.5)); got > 10.001 {
 			t.Errorf("%d entries: %.1f watches a second", n, got)
 		}
-		if got := rate(n, listEvery(n)); got > 1.001 {
+		if got := rate(n, listInterval(n)); got > 1.001 {
 			t.Errorf("%d entries: %.1f lists a second", n, got)
 		}
 	}
 	for _, random := range []float64{0, 0.5, 0.999} {
 		if got := watchWait(3, random); got != adapter.DefaultWatchWait {
-			t.Errorf("a small site hears of a silent watch after %v", got)
+			t.Errorf("a watch of a small site waits %v, want the default", got)
 		}
 	}
 	if got := rate(2500, watchWait(2500, 0.5)); got > 165 {
@@ -31,10 +31,10 @@
 	}
 }
 
-// A fleet begins as a whole, its first watches are opened within a second, and later all of
-// them miss a change. Were they opened anew together, too, no entry would hear of it for the
-// length of a watch.
-func TestSomeEntrySoonOpensItsWatchAnew(t *testing.T) {
+// All entries start at once and open their watches within a second; later all watches miss
+// a change. If the entries also reopened their watches in step, none of them would receive
+// the change for the duration of a watch.
+func TestSomeEntrySoonReopensItsWatch(t *testing.T) {
 	for _, n := range []int{3, 14, 55, 183, 1000} {
 		r := rand.New(rand.NewPCG(1, uint64(n)))
 		var opened []time.Duration
--- a/node/process/tls.go
+++ b/node/process/tls.go
@@ -8,45 +8,46 @@
 	"github.com/papayahoist/papayahoist/node/settings"
 )
 
-// entryTLS is the TLS files of an entry's ports.
+// entryTLS holds the TLS files of an entry's ports.
 type entryTLS struct{ callers, nodes, operators *certs.Files }
 
 func loadEntryTLS(files settings.EntryTLS) (entryTLS, error) {
 	var t entryTLS
-	err := loadAll(
-		port{files.Callers, &t.callers},
-		port{files.Nodes, &t.nodes},
-		port{files.Operators, &t.operators},
+	err := loadPorts(
+		portFiles{files.Callers, &t.callers},
+		portFiles{files.Nodes, &t.nodes},
+		portFiles{files.Operators, &t.operators},
 	)
 	return t, err
 }
 
-// watch keeps the configurations up to date with the files.
+// watch reloads files that have changed until the context is cancelled.
 func (t entryTLS) watch(ctx context.Context, log *slog.Logger) {
 	certs.Watch(ctx, log, 0, t.callers, t.nodes, t.operators)
 }
 
-// agentTLS is the TLS files of an agent's ports.
+// agentTLS holds the TLS files of an agent's ports.
 type agentTLS struct{ nodes, operators *certs.Files }
 
 func loadAgentTLS(files settings.AgentTLS) (agentTLS, error) {
 	var t agentTLS
-	err := loadAll(port{files.Nodes, &t.nodes}, port{files.Operators, &t.operators})
+	err := loadPorts(portFiles{files.Nodes, &t.nodes}, portFiles{files.Operators, &t.operators})
 	return t, err
 }
 
-// watch keeps the configurations up to date with the files.
+// watch reloads files that have changed until the context is cancelled.
 func (t agentTLS) watch(ctx context.Context, log *slog.Logger) {
 	certs.Watch(ctx, log, 0, t.nodes, t.operators)
 }
 
-// port is the files of one port and where they go once loaded.
-type port struct {
+// portFiles names the TLS files of one port, and the variable that receives them once
+// loaded.
+type portFiles struct {
 	files  settings.TLSFiles
 	loaded **certs.Files
 }
 
-func loadAll(ports ...port) error {
+func loadPorts(ports ...portFiles) error {
 	for _, p := range ports {
 		loaded, err := certs.Load(p.files)
 		if err != nil {
