--- a/node/membership/connect.go
+++ b/node/membership/connect.go
@@ -10,19 +10,19 @@
 	"github.com/papayahoist/papayahoist/node/rpc"
 )
 
-// Connect is an Exchanger over the nodes' ports of entries.
+// Connect is an Exchanger that calls the nodes' ports of entries.
 type Connect struct {
 	tls     *tls.Config
 	clients *rpc.Clients
 }
 
-// NewConnect returns an Exchanger; nil is for plain connections.
+// NewConnect returns an Exchanger. If tlsConfig is nil, connections are not encrypted.
 func NewConnect(tlsConfig *tls.Config) *Connect {
 	return &Connect{tls: tlsConfig, clients: rpc.NewClients(tlsConfig)}
 }
 
-// Exchange implements Exchanger. A connection over which an exchange has failed
-// is not used again: it may have gone silent for good while new ones work.
+// Exchange implements Exchanger. After a failed exchange it drops the client, whose
+// connection may stay unresponsive while a new one works.
 func (c *Connect) Exchange(ctx context.Context, address string, state *pb.PeerState) (*pb.PeerState, error) {
 	client := c.clients.Get(address)
 	service := papayahoistv1connect.NewEntryServiceClient(client, rpc.URL(address, c.tls))
--- a/node/membership/exchange.go
+++ b/node/membership/exchange.go
@@ -10,41 +10,43 @@
 	"github.com/papayahoist/papayahoist/dispatch/member"
 )
 
-// maxContracts bounds the contracts in one message. Who lacks more asks again.
-const maxContracts = 200
+// maxContractsPerMessage bounds the contracts in one message. An entry that lacks more
+// requests them in further exchanges.
+const maxContractsPerMessage = 200
 
-// state is what this entry tells another that is covered up to a revision. To is
-// the other's incarnation, empty when it is not known.
-func (m *Membership) state(to string, covered uint64) *pb.PeerState {
-	contracts, upTo := m.opts.Config.Snapshot().Since(covered, maxContracts)
+// stateFor returns the state to send to the entry with incarnation to, empty if that is
+// not known. It includes contracts changed after revision covered.
+func (m *Membership) stateFor(to string, covered uint64) *pb.PeerState {
+	contracts, upTo := m.opts.Config.Snapshot().Since(covered, maxContractsPerMessage)
 	state := &pb.PeerState{Self: m.self.Load(), Peers: m.Peers(), Contracts: contracts, ConfigSince: covered, ConfigRevision: upTo}
-	if m.opts.Extend != nil {
-		m.opts.Extend(to, state)
+	if m.opts.ExtendState != nil {
+		m.opts.ExtendState(to, state)
 	}
 	return state
 }
 
-// Serve answers an exchange that another entry began.
+// Serve applies the state of another entry that began an exchange, and returns the
+// answer.
 func (m *Membership) Serve(state *pb.PeerState) *pb.PeerState {
-	m.take("", state)
-	return m.state(state.GetSelf().GetIncarnation(), state.ConfigRevision)
+	m.applyState("", state)
+	return m.stateFor(state.GetSelf().GetIncarnation(), state.ConfigRevision)
 }
 
-// take takes in another entry's state; asked as for member.Set.Heard.
-func (m *Membership) take(asked string, state *pb.PeerState) {
+// applyState applies the state of another entry. For asked see member.Set.Heard.
+func (m *Membership) applyState(asked string, state *pb.PeerState) {
 	m.opts.Config.Apply(state.Contracts, state.ConfigSince, state.ConfigRevision)
 	m.update(func(now time.Time, s *member.Set) {
 		s.Heard(now, asked, state)
-		// Without the store, one entry that is in names the others.
-		m.settled = m.settled || (!m.reached && len(s.Members()) > 0)
+		// Without the store, one member suffices, since it names the others.
+		m.discovered = m.discovered || (!m.storeReachable && len(s.Members()) > 0)
 	})
-	if m.opts.Received != nil {
-		m.opts.Received(state)
+	if m.opts.OnState != nil {
+		m.opts.OnState(state)
 	}
 }
 
-// exchange makes the exchanges that are due until the context ends.
-func (m *Membership) exchange(ctx context.Context, wg *sync.WaitGroup) {
+// runExchanges begins exchanges as they become due until the context is cancelled.
+func (m *Membership) runExchanges(ctx context.Context, wg *sync.WaitGroup) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -53,45 +55,45 @@
 			return
 		case <-timer.C:
 		case <-m.wake:
-		case <-m.hurry:
-			m.askAll(ctx, wg)
+		case <-m.exchangeRequested:
+			m.exchangeAll(ctx, wg)
 		}
-		for _, a := range m.due(timer) {
-			wg.Go(func() { m.ask(ctx, a) })
+		for _, a := range m.dueExchanges(timer) {
+			wg.Go(func() { m.exchange(ctx, a) })
 		}
-		m.tellStarters()
+		m.notifyStarters()
 	}
 }
 
-// ExchangeNow begins an exchange with every member, besides the regular ones. It
+// ExchangeNow begins an exchange with every member, in addition to the regular ones. It
 // does not block.
 func (m *Membership) ExchangeNow() {
 	select {
-	case m.hurry <- struct{}{}:
+	case m.exchangeRequested <- struct{}{}:
 	default:
 	}
 }
 
-func (m *Membership) askAll(ctx context.Context, wg *sync.WaitGroup) {
+func (m *Membership) exchangeAll(ctx context.Context, wg *sync.WaitGroup) {
 	for _, p := range m.Peers()[1:] {
-		wg.Go(func() { m.ask(ctx, member.Ask{Address: p.Address, Incarnation: p.Incarnation}) })
+		wg.Go(func() { m.exchange(ctx, member.Ask{Address: p.Address, Incarnation: p.Incarnation}) })
 	}
 }
 
-func (m *Membership) tellStarters() {
+func (m *Membership) notifyStarters() {
 	if m.opts.OnStarters == nil {
 		return
 	}
 	m.mu.Lock()
 	now := time.Now()
 	starters := m.set.Starters(now)
-	fenced := !m.settled || m.set.Fenced(now)
+	fenced := !m.discovered || m.set.Fenced(now)
 	m.mu.Unlock()
 	m.opts.OnStarters(starters, fenced)
 }
 
-// due returns the exchanges to make and sets the timer for the next.
-func (m *Membership) due(timer *time.Timer) []member.Ask {
+// dueExchanges returns the exchanges that are due, and resets the timer to the next one.
+func (m *Membership) dueExchanges(timer *time.Timer) []member.Ask {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -103,34 +105,35 @@
 	return asks
 }
 
-// ask makes one exchange, and more while the other has more contracts to send.
-func (m *Membership) ask(ctx context.Context, a member.Ask) {
+// exchange makes one exchange, and repeats it while the other entry has more
+// contracts to send.
+func (m *Membership) exchange(ctx context.Context, a member.Ask) {
 	for {
 		before := m.opts.Config.Snapshot().Covered()
-		state, err := m.askOnce(ctx, a)
+		state, err := m.exchangeOnce(ctx, a)
 		if err != nil {
 			m.update(func(now time.Time, s *member.Set) { s.Failed(now, a.Incarnation) })
 			return
 		}
-		m.take(a.Incarnation, state)
-		if len(state.Contracts) < maxContracts || m.opts.Config.Snapshot().Covered() <= before {
+		m.applyState(a.Incarnation, state)
+		if len(state.Contracts) < maxContractsPerMessage || m.opts.Config.Snapshot().Covered() <= before {
 			return
 		}
 		a.Covered = state.ConfigRevision
 	}
 }
 
-// question is the state to ask with. Who has never answered may be ahead, or be
-// this process itself behind the balancer: it gets no contracts unasked. Its
-// answer tells what it lacks.
-func (m *Membership) question(a member.Ask) *pb.PeerState {
+// request returns the state that begins an exchange. An entry that has never answered
+// may have newer contracts, or be this process itself, reached through the balancer.
+// Such an entry is sent no contracts until its answer shows which it lacks.
+func (m *Membership) request(a member.Ask) *pb.PeerState {
 	covered := a.Covered
 	covered = cmp.Or(covered, m.opts.Config.Snapshot().Covered())
-	return m.state(a.Incarnation, covered)
+	return m.stateFor(a.Incarnation, covered)
 }
 
-func (m *Membership) askOnce(ctx context.Context, a member.Ask) (*pb.PeerState, error) {
+func (m *Membership) exchangeOnce(ctx context.Context, a member.Ask) (*pb.PeerState, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.ExchangeTimeout)
 	defer cancel()
-	return m.opts.Exchanger.Exchange(ctx, a.Address, m.question(a))
+	return m.opts.Exchanger.Exchange(ctx, a.Address, m.request(a))
 }
--- a/node/membership/herd_test.go
+++ b/node/membership/herd_test.go
@@ -8,10 +8,10 @@
 	"github.com/papayahoist/papayahoist/platform/standin/kv"
 )
 
-// The store goes away for three minutes, in which every lease lapses, and comes
-// back. Agents make no calls to it, so that the entries are all its clients: 3 for
-// today's 11 workers, and 12 for a few hundred. If they came back in step the
-// platform would refuse them, and with them the operators' changes.
+// The store is unreachable for three minutes, in which every lease lapses, and returns.
+// Its clients are the entries alone: 3 for 11 workers, 12 for a few hundred. If they
+// called it in step when it returns, the platform would refuse their calls, and with
+// them the operators' changes.
 func TestNoHerdAfterOutage(t *testing.T) {
 	for _, entries := range []int{3, 12} {
 		synctest.Test(t, func(t *testing.T) {
@@ -23,7 +23,7 @@
 			}
 			time.Sleep(time.Second)
 			first := c.store.Counts().Total() - began
-			c.until(30*time.Second, "all know each other", c.agreed)
+			c.until(30*time.Second, "all list each other", c.converged)
 			time.Sleep(time.Minute)
 			quiet := busiest(c, 40)
 			c.store.SetFaults(kv.Faults{Outage: true})
@@ -42,7 +42,7 @@
 	}
 }
 
-// busiest is the number of calls in the busiest of some seconds.
+// busiest returns the number of calls in the busiest of the next seconds.
 func busiest(c *cluster, seconds int) uint64 {
 	var most uint64
 	for range seconds {
--- a/node/membership/membership.go
+++ b/node/membership/membership.go
@@ -19,83 +19,89 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Exchanger carries one exchange to the entry at an address. An error means that
-// no answer was received.
+// Exchanger sends state to the entry at an address and returns its answer. An error
+// means that no answer was received.
 type Exchanger interface {
 	Exchange(ctx context.Context, address string, state *pb.PeerState) (*pb.PeerState, error)
 }
 
-// Options of a Membership. The zero value of a field stands for its default
-// unless said otherwise.
+// Options configure a Membership. The zero value of a field stands for its default
+// unless stated otherwise.
 type Options struct {
-	// Self is this process. It is required.
+	// Self describes this process. It is required.
 	Self *pb.Peer
-	// Store is the platform's; nil when there is none.
+	// Store is the client of the platform's store; nil if there is none.
 	Store store.Client
 	// Config receives the contracts. It is required.
 	Config *config.Holder
-	// Join are nodes' addresses of entries, or of the balancer before them, that
-	// are asked while the store can't be reached.
+	// Join lists nodes' addresses of entries, or of the balancer in front of them, to
+	// exchange state with while the store is unreachable.
 	Join []string
 	// Exchanger is required.
 	Exchanger Exchanger
-	// LeaseTTL is that of the announcement. It is renewed after half of it: more
-	// often would cost store calls at rest, and a lapsed lease drops no entry that
-	// is heard. Default 30 s.
+	// LeaseTTL is the duration of the announcement's lease, which is renewed after half
+	// of it. Shorter intervals would cost an idle fleet more store calls; and an entry
+	// that still answers is not dropped when its lease lapses. Default 30 s.
 	LeaseTTL time.Duration
 	Member   member.Options
 	Follow   follow.Options
 	// ExchangeTimeout bounds one exchange. Default 1 s.
 	ExchangeTimeout time.Duration
-	// Extend adds to the state that is sent to an entry, by its incarnation, empty
-	// when that is not known; Received is given the state of others. Both may be
-	// nil, and must not block.
-	Extend   func(to string, state *pb.PeerState)
-	Received func(*pb.PeerState)
-	// Announced is told until when the announcement holds, counted from before the
-	// call that renewed it; true asks for a call of Listed with all entries that
-	// the store names, read in a call that began at readAt. Listed is also called
-	// when the store names one no more. Both may be nil.
-	Announced func(until time.Time) (list bool)
-	Listed    func(readAt time.Time, incarnations []string)
-	// OnPeers is given the members after each change, this entry first; it must
-	// not block, nor call the membership but for Peers. Nil: nobody is told.
+	// ExtendState adds to the state to be sent to the entry with incarnation to, empty
+	// if that is not known. OnState is called with the state of other entries. Both may
+	// be nil, and must not block.
+	ExtendState func(to string, state *pb.PeerState)
+	OnState     func(*pb.PeerState)
+	// OnAnnounced is called after each renewal of the announcement with the time until
+	// which it is valid, counted from before the call that renewed it. If it returns
+	// true, OnListed is called with all entries in the store, read by a call that began
+	// at readAt. OnListed is also called after an entry was removed from the store. Both
+	// may be nil.
+	OnAnnounced func(until time.Time) (list bool)
+	OnListed    func(readAt time.Time, incarnations []string)
+	// OnPeers is called with the members after each change, this entry first. It must
+	// not block, and must not call methods of the Membership other than Peers. It may
+	// be nil.
 	OnPeers func([]*pb.Peer)
-	// OnStarters is given the incarnations of the other entries that may start
-	// tasks, and whether this one must not, since others may have taken its parts
-	// of the contracts. It is called again at least once in each interval of
-	// exchanges, must not block, nor call the membership but for Peers. Nil:
-	// nobody is told.
+	// OnStarters is called with the incarnations of the other entries that may start
+	// tasks. Fenced means that this entry must not start any, since others may have
+	// taken over its shares of the contracts. It is called at least once per exchange
+	// interval. It must not block, and must not call methods of the Membership other
+	// than Peers. It may be nil.
 	OnStarters func(others []string, fenced bool)
 	Logger     *slog.Logger
-	// Events takes losses and returns of the store, for the time line; nil: none.
+	// Events records for the time line when the store is lost and when it is back. If
+	// nil, nothing is recorded.
 	Events *event.Ring
-	// Random gives numbers in [0, 1), concurrently. Default: math/rand/v2.
+	// Random returns numbers in [0, 1). It must be safe for concurrent use. The default
+	// is that of math/rand/v2.
 	Random func() float64
 }
 
-// Membership is safe for concurrent use.
+// Membership keeps one entry's view of the other entries. It is safe for concurrent use.
 type Membership struct {
 	opts Options
 	log  *slog.Logger
 	self atomic.Pointer[pb.Peer]
 
 	peers atomic.Pointer[[]*pb.Peer]
-	// followed is how far the store's changes are known; only the reader uses it.
-	followed store.Revision
+	// followedRevision is the revision up to which the store's changes are applied. Only
+	// the storeReader uses it.
+	followedRevision store.Revision
 
-	wake  chan struct{}
-	leave chan struct{}
-	hurry chan struct{} // asks for an exchange with every member
-	again chan struct{} // asks for the store's list of entries
+	wake              chan struct{}
+	leave             chan struct{}
+	exchangeRequested chan struct{} // requests an exchange with every member
+	listRequested     chan struct{} // requests a read of the store's list of entries
 
-	mu  sync.Mutex // serializes the set, and guards what follows
+	mu  sync.Mutex // guards set, storeReachable and discovered
 	set *member.Set
-	// reached is whether the store answers, for log lines of its changes.
-	reached bool
-	// settled is set once this entry knows of all that may have started before it.
-	settled bool
-	// storeError tells why the store doesn't answer; nil while it does.
+	// storeReachable is whether the store answers. Changes are logged.
+	storeReachable bool
+	// discovered is set once this entry knows all entries that may have started before
+	// it.
+	discovered bool
+	// storeError is why the store doesn't answer; nil while it does.
 	storeError atomic.Pointer[string]
 }
 
@@ -111,19 +117,19 @@
 		o.Logger = slog.New(slog.DiscardHandler)
 	}
 	m := &Membership{
-		opts: o, log: o.Logger, wake: make(chan struct{}, 1), leave: make(chan struct{}), hurry: make(chan struct{}, 1), again: make(chan struct{}, 1),
-		set:     member.New(o.Self, o.Join, o.Random, o.Member),
-		settled: o.Store == nil && len(o.Join) == 0,
+		opts: o, log: o.Logger, wake: make(chan struct{}, 1), leave: make(chan struct{}), exchangeRequested: make(chan struct{}, 1), listRequested: make(chan struct{}, 1),
+		set:        member.New(o.Self, o.Join, o.Random, o.Member),
+		discovered: o.Store == nil && len(o.Join) == 0,
 	}
 	m.self.Store(o.Self)
 	m.peers.Store(&[]*pb.Peer{})
 	return m
 }
 
-// Peers returns the other entries that live, and this one. It takes no lock.
+// Peers returns this entry and the other live entries, this one first. It takes no lock.
 func (m *Membership) Peers() []*pb.Peer { return *m.peers.Load() }
 
-// Find returns the entry process with the incarnation if it may be reached, nil
+// Find returns the entry process with the incarnation if it may be reachable, nil
 // otherwise.
 func (m *Membership) Find(incarnation string) *pb.Peer {
 	m.mu.Lock()
@@ -131,59 +137,62 @@
 	return m.set.Find(incarnation)
 }
 
-// Settled reports whether this entry has found those that were there before it.
-// Until then it is fenced: it could take for free what another holds.
-func (m *Membership) Settled() bool {
+// Discovered reports whether this entry knows the entries that started before it. Until
+// then it is fenced: it could regard shares of contracts as free that another entry
+// holds.
+func (m *Membership) Discovered() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.settled
+	return m.discovered
 }
 
-// Run keeps the membership until the context ends. It returns when all that it
-// started has ended.
+// Run keeps the membership up to date until the context is cancelled. It returns after
+// all goroutines that it started have ended.
 func (m *Membership) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	if m.opts.Store != nil {
-		wg.Go(func() { _ = follow.Run(ctx, m.opts.Store, Prefix, (*reader)(m), m.opts.Follow) })
+		wg.Go(func() { _ = follow.Run(ctx, m.opts.Store, Prefix, (*storeReader)(m), m.opts.Follow) })
 		wg.Go(func() { m.announce(ctx) })
 	}
-	m.exchange(ctx, &wg)
+	m.runExchanges(ctx, &wg)
 }
 
-// Leave tells the other entries and the store that this one takes no new work.
+// Leave notifies the other entries that this one accepts no new work, and withdraws its
+// announcement from the store.
 func (m *Membership) Leave() {
-	left := proto.CloneOf(m.self.Load())
-	if left.Leaving {
+	self := proto.CloneOf(m.self.Load())
+	if self.Leaving {
 		return
 	}
-	left.Leaving = true
-	m.self.Store(left)
+	self.Leaving = true
+	m.self.Store(self)
 	close(m.leave)
-	m.tellAll()
+	m.notifyAll()
 }
 
-// End tells the other entries that this one starts nothing any more, so that
-// they may take its parts of the contracts at once. It waits for them.
+// End notifies the other entries that this one starts no more tasks, so that they may
+// take over its shares of the contracts at once. It waits until they have answered or
+// the exchanges have failed.
 func (m *Membership) End() {
-	ended := proto.CloneOf(m.self.Load())
-	ended.Leaving, ended.Ended = true, true
-	m.self.Store(ended)
-	m.tellAll().Wait()
+	self := proto.CloneOf(m.self.Load())
+	self.Leaving, self.Ended = true, true
+	m.self.Store(self)
+	m.notifyAll().Wait()
 }
 
-// tellAll exchanges with every member now.
-func (m *Membership) tellAll() *sync.WaitGroup {
+// notifyAll begins an exchange with every member, independent of the context of Run.
+func (m *Membership) notifyAll() *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for _, p := range m.Peers() {
 		if p.Incarnation != m.opts.Self.Incarnation {
-			wg.Go(func() { m.ask(context.Background(), member.Ask{Address: p.Address, Incarnation: p.Incarnation}) })
+			wg.Go(func() { m.exchange(context.Background(), member.Ask{Address: p.Address, Incarnation: p.Incarnation}) })
 		}
 	}
 	return &wg
 }
 
-// update runs one input of the set and publishes what came of it.
+// update applies one input to the set, publishes the result and wakes runExchanges.
 func (m *Membership) update(input func(now time.Time, s *member.Set)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -209,7 +218,7 @@
 	}
 }
 
-// StoreError tells why the store can't be used, empty if it can.
+// StoreError returns why the store can't be used, or an empty string if it can.
 func (m *Membership) StoreError() string {
 	if why := m.storeError.Load(); why != nil {
 		return *why
@@ -217,29 +226,29 @@
 	return ""
 }
 
-// storeReached notes whether the store answers.
-func (m *Membership) storeReached(reached bool, err error) {
+// setStoreReachable records whether the store answers.
+func (m *Membership) setStoreReachable(reachable bool, err error) {
 	m.update(func(now time.Time, s *member.Set) {
-		if reached != m.reached {
-			m.log.Info("store", "reached", reached, "err", err)
-			m.recordStore(now, reached, err)
+		if reachable != m.storeReachable {
+			m.log.Info("store", "reached", reachable, "err", err)
+			m.recordStoreEvent(now, reachable, err)
 		}
-		m.reached = reached
-		m.storeError.Store(reason(err))
-		s.Store(now, reached)
+		m.storeReachable = reachable
+		m.storeError.Store(errorText(err))
+		s.Store(now, reachable)
 	})
 }
 
-// recordStore keeps that the store was lost or is back.
-func (m *Membership) recordStore(now time.Time, reached bool, err error) {
-	if reached {
+// recordStoreEvent records in the time line that the store was lost or is back.
+func (m *Membership) recordStoreEvent(now time.Time, reachable bool, err error) {
+	if reachable {
 		m.opts.Events.Record(now, event.Event{Kind: event.StoreBack})
 		return
 	}
 	m.opts.Events.Record(now, event.Event{Kind: event.StoreLost, Detail: err.Error()})
 }
 
-func reason(err error) *string {
+func errorText(err error) *string {
 	if err == nil {
 		return nil
 	}
--- a/node/membership/membership_test.go
+++ b/node/membership/membership_test.go
@@ -24,7 +24,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// balancer is the address at which any living entry may answer.
+// balancer is the address at which any live entry may answer.
 const balancer = "balancer"
 
 // node is one entry process.
@@ -37,27 +37,27 @@
 	done    chan struct{}
 }
 
-// cluster is entries on one clock, with a network that can be cut.
+// cluster is a set of entries on one clock, with a network that can be partitioned.
 type cluster struct {
 	t      testing.TB
 	store  *kv.Server
 	random func() float64
 
-	mu       sync.Mutex
-	nodes    map[string]*node
-	cut      map[string]bool
-	started  int
-	turn     int
-	messages int
-	bytes    int
+	mu          sync.Mutex
+	nodes       map[string]*node
+	partitioned map[string]bool
+	started     int
+	balanced    int
+	messages    int
+	bytes       int
 }
 
 func newCluster(t testing.TB) *cluster {
-	return &cluster{t: t, store: kv.New(kv.Options{}), random: source(0), nodes: map[string]*node{}, cut: map[string]bool{}}
+	return &cluster{t: t, store: kv.New(kv.Options{}), random: newRandom(0), nodes: map[string]*node{}, partitioned: map[string]bool{}}
 }
 
-// source returns random numbers of their own for each process.
-func source(seed int) func() float64 {
+// newRandom returns a source of random numbers for one process.
+func newRandom(seed int) func() float64 {
 	var mu sync.Mutex
 	numbers := rand.New(rand.NewPCG(3, uint64(seed)))
 	return func() float64 {
@@ -71,7 +71,7 @@
 	return etcdv3.New("http://store", etcdv3.Options{HTTPClient: &http.Client{Transport: inproc.Transport{Handler: c.store}}, Random: random})
 }
 
-// start adds an entry process.
+// start adds an entry process at a new address.
 func (c *cluster) start() *node {
 	c.mu.Lock()
 	address := fmt.Sprintf("10.0.0.%d", c.started+1)
@@ -79,15 +79,15 @@
 	return c.startAt(address)
 }
 
-// startAt adds an entry process at the address of one that has ended.
+// startAt adds an entry process at an address, which may be that of one that has ended.
 func (c *cluster) startAt(address string) *node {
 	c.started++
 	ctx, stop := context.WithCancel(context.Background())
 	n := &node{address: address, config: config.NewHolder(), events: event.NewRing(event.Options{Size: 64}), stop: stop, done: make(chan struct{})}
-	random := source(c.started)
+	random := newRandom(c.started)
 	self := &pb.Peer{Entry: "entry", Incarnation: fmt.Sprintf("%08x%024x", int(random()*1e9), c.started), Address: address, FailureDomain: "a"}
 	n.m = membership.New(membership.Options{
-		Self: self, Store: c.client(random), Config: n.config, Join: []string{balancer}, Exchanger: &carrier{c, address}, Random: random,
+		Self: self, Store: c.client(random), Config: n.config, Join: []string{balancer}, Exchanger: &exchanger{c, address}, Random: random,
 		Events: n.events,
 	})
 	c.mu.Lock()
@@ -100,7 +100,7 @@
 	return n
 }
 
-// kill ends a process without a word.
+// kill ends a process without notifying the others.
 func (c *cluster) kill(n *node) {
 	c.mu.Lock()
 	delete(c.nodes, n.address)
@@ -109,20 +109,20 @@
 	<-n.done
 }
 
-// setCut cuts a process off from all that are not, or ends that.
-func (c *cluster) setCut(n *node, cut bool) {
+// setPartitioned partitions a process from all that are not partitioned, or heals it.
+func (c *cluster) setPartitioned(n *node, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[n.address] = cut
+	c.partitioned[n.address] = cut
 }
 
 func (c *cluster) close() {
-	for _, n := range c.living() {
+	for _, n := range c.live() {
 		c.kill(n)
 	}
 }
 
-func (c *cluster) living() []*node {
+func (c *cluster) live() []*node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []*node
@@ -135,23 +135,23 @@
 	return all
 }
 
-// carrier is the network as one entry sees it.
-type carrier struct {
+// exchanger is a membership.Exchanger that carries the exchanges of one entry.
+type exchanger struct {
 	c    *cluster
 	from string
 }
 
-func (k *carrier) Exchange(ctx context.Context, to string, state *pb.PeerState) (*pb.PeerState, error) {
+func (k *exchanger) Exchange(ctx context.Context, to string, state *pb.PeerState) (*pb.PeerState, error) {
 	c := k.c
 	if to == balancer {
-		living := c.living()
+		live := c.live()
 		c.mu.Lock()
-		c.turn++
-		to = living[c.turn%len(living)].address
+		c.balanced++
+		to = live[c.balanced%len(live)].address
 		c.mu.Unlock()
 	}
 	c.mu.Lock()
-	target, cut := c.nodes[to], c.cut[k.from] != c.cut[to]
+	target, cut := c.nodes[to], c.partitioned[k.from] != c.partitioned[to]
 	c.messages += 2
 	c.bytes += proto.Size(state)
 	c.mu.Unlock()
@@ -170,7 +170,8 @@
 	return proto.CloneOf(answer), nil
 }
 
-// until waits in steps of virtual time and returns how long it took.
+// until polls in steps of virtual time until the condition holds, and returns how long
+// that took. It fails the test after limit.
 func (c *cluster) until(limit time.Duration, what string, holds func() bool) time.Duration {
 	c.t.Helper()
 	const step = 10 * time.Millisecond
@@ -184,16 +185,16 @@
 	return 0
 }
 
-// agreed says that all living entries know each other, and nobody else.
-func (c *cluster) agreed() bool {
-	living := c.living()
-	for _, n := range living {
+// converged reports whether all live entries list each other and no others.
+func (c *cluster) converged() bool {
+	live := c.live()
+	for _, n := range live {
 		peers := n.m.Peers()
-		if len(peers) != len(living) {
+		if len(peers) != len(live) {
 			return false
 		}
 		for _, p := range peers {
-			if !slices.ContainsFunc(living, func(n *node) bool { return n.address == p.Address }) {
+			if !slices.ContainsFunc(live, func(n *node) bool { return n.address == p.Address }) {
 				return false
 			}
 		}
@@ -201,9 +202,9 @@
 	return true
 }
 
-// inForce says that all living entries run at least a revision of a contract.
+// inForce reports whether all live entries hold at least that revision of a contract.
 func (c *cluster) inForce(name string, revision uint64) bool {
-	for _, n := range c.living() {
+	for _, n := range c.live() {
 		if n.config.Snapshot().Held(name).GetRevision() < revision {
 			return false
 		}
@@ -223,41 +224,41 @@
 	return revision
 }
 
-// Entries start, one dies without a word, one is restarted at the same address,
-// and one is paused. A dead entry that is still listed gets jobs forwarded that
-// wait for nothing; a living one that is dropped has its jobs answered as unknown.
-func TestJoinDieRestartPause(t *testing.T) {
+// Entries start, one crashes, one is restarted at the same address, and one is paused. A
+// crashed entry that is still listed would be forwarded jobs that nobody serves; the jobs
+// of a live one that is dropped would be answered as unknown.
+func TestJoinCrashRestartPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
 		for range 3 {
 			c.start()
 		}
-		t.Logf("three entries know each other after %v", c.until(2*time.Second, "three know each other", c.agreed))
+		t.Logf("three entries list each other after %v", c.until(2*time.Second, "three list each other", c.converged))
 		fourth := c.start()
-		t.Logf("a fourth is known after %v", c.until(2*time.Second, "fourth joins", c.agreed))
+		t.Logf("a fourth is listed after %v", c.until(2*time.Second, "fourth joins", c.converged))
 
 		c.kill(fourth)
-		t.Logf("a dead one is dropped after %v", c.until(15*time.Second, "dead one dropped", c.agreed))
+		t.Logf("a crashed one is dropped after %v", c.until(15*time.Second, "crashed one dropped", c.converged))
 
-		third := c.living()[2]
+		third := c.live()[2]
 		c.kill(third)
 		c.startAt(third.address)
-		t.Logf("a restarted one is known anew after %v", c.until(5*time.Second, "restarted one known", c.agreed))
+		t.Logf("a restarted one is listed again after %v", c.until(5*time.Second, "restarted one listed", c.converged))
 
-		paused := c.living()[1]
-		c.setCut(paused, true)
+		paused := c.live()[1]
+		c.setPartitioned(paused, true)
 		time.Sleep(time.Minute)
-		if n := len(c.living()[0].m.Peers()); n != 2 {
+		if n := len(c.live()[0].m.Peers()); n != 2 {
 			t.Errorf("%d entries listed while one is paused, want 2", n)
 		}
-		c.setCut(paused, false)
-		t.Logf("a paused one is back after %v", c.until(20*time.Second, "paused one back", c.agreed))
+		c.setPartitioned(paused, false)
+		t.Logf("a paused one is back after %v", c.until(20*time.Second, "paused one back", c.converged))
 	})
 }
 
-// An entry that leaves in order says so: no caller's job may be sent there as to
-// a new home, and nobody has to wait until it is found silent.
+// An entry that shuts down in order notifies the others. They must not choose it as the
+// home of a job any more, and need not wait until it is found unresponsive.
 func TestLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -265,11 +266,11 @@
 		for range 3 {
 			c.start()
 		}
-		c.until(2*time.Second, "three know each other", c.agreed)
-		leaving := c.living()[2]
+		c.until(2*time.Second, "three list each other", c.converged)
+		leaving := c.live()[2]
 		leaving.m.Leave()
-		took := c.until(2*time.Second, "others know that it leaves", func() bool {
-			for _, n := range c.living()[:2] {
+		took := c.until(2*time.Second, "others list it as leaving", func() bool {
+			for _, n := range c.live()[:2] {
 				for _, p := range n.m.Peers() {
 					if p.Address == leaving.address && !p.Leaving {
 						return false
@@ -279,15 +280,15 @@
 			return true
 		})
 		c.kill(leaving)
-		t.Logf("leaving is known after %v, gone after %v", took, c.until(6*time.Second, "left one is dropped", c.agreed))
+		t.Logf("listed as leaving after %v, dropped after %v", took, c.until(6*time.Second, "the one that left is dropped", c.converged))
 	})
 }
 
-// The store is gone for an hour. Meanwhile an entry dies every five minutes and a
-// new one starts, which can learn of the others and of the contracts from nobody
-// but them. A customer must notice nothing: no contract is lost or jumps back,
-// and no living entry is dropped because its lease has lapsed. The last change
-// before the outage reached one entry only.
+// The store is unreachable for an hour. Every five minutes an entry crashes and a new one
+// starts, which can receive the list of entries and the contracts from the other entries
+// only. No contract may be lost or revert to an older revision, and no live entry may be
+// dropped because its lease has lapsed. The last change before the outage reached one
+// entry only.
 func TestAnHourWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -298,22 +299,22 @@
 		for range 3 {
 			c.start()
 		}
-		c.until(5*time.Second, "three know each other", c.agreed)
+		c.until(5*time.Second, "three list each other", c.converged)
 		quiet := callsPerEntry(c, 10*time.Minute)
 
-		// The watches go silent, all but that of a fresh entry.
+		// All watches stop responding, except that of a new entry.
 		c.store.SetFaults(kv.Faults{SilentWatches: true})
-		from := c.living()[0].config.Contract("c7").Revision
+		from := c.live()[0].config.Contract("c7").Revision
 		last := c.apply("c7", "last", from, 9)
-		c.kill(c.living()[0])
+		c.kill(c.live()[0])
 		c.start()
-		c.until(time.Second, "the fresh entry has listed", func() bool { return c.living()[2].config.Contract("c7").GetRevision() == last })
+		c.until(time.Second, "the new entry has read the store", func() bool { return c.live()[2].config.Contract("c7").GetRevision() == last })
 		c.store.SetFaults(kv.Faults{Outage: true})
-		t.Logf("a change that one entry has seen is in force everywhere after %v",
-			c.until(9*time.Second, "last change is spread", func() bool { return c.inForce("c7", last) }))
+		t.Logf("a change that one entry has received is in force everywhere after %v",
+			c.until(9*time.Second, "last change is in force", func() bool { return c.inForce("c7", last) }))
 
 		c.until(2*time.Minute, "the loss of the store is in the time line", func() bool {
-			return !slices.ContainsFunc(c.living(), func(n *node) bool {
+			return !slices.ContainsFunc(c.live(), func(n *node) bool {
 				lost, _ := n.events.Count(event.StoreLost)
 				return lost != 1
 			})
@@ -326,32 +327,32 @@
 		for ; time.Since(outage) < time.Hour; changes++ {
 			joined := c.start()
 			slowestJoin = max(slowestJoin, c.until(9*time.Second, "new entry has the contracts", func() bool {
-				return joined.config.Snapshot().Len() == 41 && c.agreed()
+				return joined.config.Snapshot().Len() == 41 && c.converged()
 			}))
 			time.Sleep(150 * time.Second)
-			c.kill(c.living()[0])
-			slowestDrop = max(slowestDrop, c.until(15*time.Second, "dead entry dropped", c.agreed))
+			c.kill(c.live()[0])
+			slowestDrop = max(slowestDrop, c.until(15*time.Second, "crashed entry dropped", c.converged))
 			for end := time.Now().Add(140 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
-				if !c.agreed() || !c.inForce("c7", last) {
-					t.Fatalf("a living entry was dropped, or c7 jumped back, %v into the outage", time.Since(outage))
+				if !c.converged() || !c.inForce("c7", last) {
+					t.Fatalf("a live entry was dropped, or c7 reverted, %v into the outage", time.Since(outage))
 				}
 			}
 		}
 		during := float64(c.store.Counts().Total()-before) / time.Since(outage).Seconds() / 3 * 10
 		c.store.SetFaults(kv.Faults{})
-		c.until(30*time.Second, "the store serves again", func() bool { return c.store.Counts().Writes > 0 && c.agreed() })
+		c.until(30*time.Second, "the store serves again", func() bool { return c.store.Counts().Writes > 0 && c.converged() })
 		time.Sleep(30 * time.Second)
-		for _, n := range c.living() {
+		for _, n := range c.live() {
 			lost, _ := n.events.Count(event.StoreLost)
 			back, _ := n.events.Count(event.StoreBack)
-			// One that started in the outage has met the store only now.
+			// An entry that started during the outage has reached the store only now.
 			if lost > 1 || back < 1 || back > 2 {
 				t.Errorf("%s recorded the store lost %d times, back %d times, in one outage", n.address, lost, back)
 			}
 		}
 		next := c.apply("c7", "after", last, 10)
 		force := c.until(9*time.Second, "change after the outage", func() bool { return c.inForce("c7", next) })
-		t.Logf("%d joins and as many deaths; joins took at most %v, drops %v; change after the outage in force after %v", changes, slowestJoin, slowestDrop, force)
+		t.Logf("%d joins and as many crashes; joins took at most %v, drops %v; change after the outage in force after %v", changes, slowestJoin, slowestDrop, force)
 		t.Logf("store calls per entry and 10 s: quiet %.2f, outage %.2f, after it %.2f", quiet, during, callsPerEntry(c, 10*time.Minute))
 		if quiet > 1 {
 			t.Errorf("%.2f store calls per entry and 10 s at rest, want at most 1", quiet)
@@ -359,15 +360,15 @@
 	})
 }
 
-// callsPerEntry is the store calls of one entry in 10 s.
+// callsPerEntry returns the mean number of store calls of one entry in 10 s.
 func callsPerEntry(c *cluster, during time.Duration) float64 {
 	before := c.store.Counts().Total()
 	time.Sleep(during)
-	return float64(c.store.Counts().Total()-before) / float64(len(c.living())) / during.Seconds() * 10
+	return float64(c.store.Counts().Total()-before) / float64(len(c.live())) / during.Seconds() * 10
 }
 
-// The network cuts two entries off from a third, and the store is down. Both
-// sides go on by themselves, and find each other again when it heals.
+// The network is partitioned between one entry and two others while the store is down.
+// Both sides must go on by themselves, and find each other again when it heals.
 func TestPartitionHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -375,57 +376,56 @@
 		for range 3 {
 			c.start()
 		}
-		c.until(2*time.Second, "three know each other", c.agreed)
+		c.until(2*time.Second, "three list each other", c.converged)
 		c.store.SetFaults(kv.Faults{Outage: true})
-		alone := c.living()[0]
-		c.setCut(alone, true)
+		isolated := c.live()[0]
+		c.setPartitioned(isolated, true)
 		time.Sleep(30 * time.Minute)
-		if n := len(alone.m.Peers()); n != 1 {
-			t.Errorf("the one cut off lists %d entries, want itself", n)
+		if n := len(isolated.m.Peers()); n != 1 {
+			t.Errorf("the partitioned entry lists %d entries, want itself only", n)
 		}
-		c.setCut(alone, false)
-		t.Logf("whole again after %v", c.until(30*time.Second, "partition heals", c.agreed))
+		c.setPartitioned(isolated, false)
+		t.Logf("healed after %v", c.until(30*time.Second, "partition heals", c.converged))
 	})
 }
 
-// An operator changes a contract while the site is quiet, while an entry restarts,
-// while watches are silent, and while the store takes 50 times as long as usual.
-// Until the change is in force everywhere the customer is held to the old terms
-// at some entries.
+// An operator changes a contract while the site is idle, while an entry restarts, while
+// watches are unresponsive, and while the store has 50 times its usual latency. Until the
+// change is in force everywhere, some entries apply the old terms to the customer.
 func TestTimeToForce(t *testing.T) {
-	const usual = 2 * time.Millisecond
+	const usualLatency = 2 * time.Millisecond
 	tests := []struct {
 		name    string
 		faults  kv.Faults
 		restart bool
 	}{
-		{name: "quiet", faults: kv.Faults{Delay: usual}},
-		{name: "entry restarting", faults: kv.Faults{Delay: usual}, restart: true},
-		{name: "one watch silent", faults: kv.Faults{Delay: usual, SilentWatches: true}, restart: true},
-		{name: "store at 50 times its latency", faults: kv.Faults{Delay: 50 * usual}},
+		{name: "quiet", faults: kv.Faults{Delay: usualLatency}},
+		{name: "entry restarting", faults: kv.Faults{Delay: usualLatency}, restart: true},
+		{name: "one watch silent", faults: kv.Faults{Delay: usualLatency, SilentWatches: true}, restart: true},
+		{name: "store at 50 times its latency", faults: kv.Faults{Delay: 50 * usualLatency}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				c.store.SetFaults(kv.Faults{Delay: usual})
+				c.store.SetFaults(kv.Faults{Delay: usualLatency})
 				for range 3 {
 					c.start()
 				}
-				c.until(2*time.Second, "three know each other", c.agreed)
+				c.until(2*time.Second, "three list each other", c.converged)
 				var revision uint64
 				var took []time.Duration
 				for i := range 41 {
 					c.store.SetFaults(tt.faults)
-					asked := time.Now()
+					began := time.Now()
 					revision = c.apply("desk", fmt.Sprintf("c%d", i), revision, uint32(i+1))
 					if tt.restart {
-						c.kill(c.living()[0])
+						c.kill(c.live()[0])
 						c.start()
 					}
 					c.until(9*time.Second, "change is in force", func() bool { return c.inForce("desk", revision) })
-					took = append(took, time.Since(asked))
+					took = append(took, time.Since(began))
 					time.Sleep(time.Duration(7+c.random()*10) * time.Second)
 				}
 				slices.Sort(took)
--- a/node/membership/store.go
+++ b/node/membership/store.go
@@ -13,17 +13,18 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// Prefix is that of all keys of this system in the store; one watch covers it.
+// Prefix is the prefix of all of this system's keys in the store. One watch covers it.
 const Prefix = "papayahoist/"
 
-// EntriesPrefix is where entries announce themselves, by incarnation.
+// EntriesPrefix is the prefix of the entries' announcements, which are keyed by
+// incarnation.
 const EntriesPrefix = Prefix + "entries/"
 
-// reader takes in what the store holds, as a follow.Reader.
-type reader Membership
+// storeReader applies the contents of the store. It implements follow.Reader.
+type storeReader Membership
 
 // Snapshot implements follow.Reader.
-func (r *reader) Snapshot(items []store.Item, at store.Revision) {
+func (r *storeReader) Snapshot(items []store.Item, at store.Revision) {
 	m := (*Membership)(r)
 	var contracts []*pb.Contract
 	var peers []*pb.Peer
@@ -36,43 +37,44 @@
 		}
 	}
 	m.opts.Config.Apply(contracts, 0, uint64(at))
-	m.followed = at
+	m.followedRevision = at
 	m.update(func(now time.Time, s *member.Set) {
 		s.Listed(now, peers)
 		for _, p := range peers {
-			m.seeSelf(p)
+			m.checkSelf(p)
 		}
 	})
-	m.storeReached(true, nil)
+	m.setStoreReachable(true, nil)
 }
 
-// Changes implements follow.Reader. That a contract's key was removed changes
-// nothing: a contract ends by a tombstone alone.
-func (r *reader) Changes(events []store.Event) {
+// Changes implements follow.Reader. The removal of a contract's key is ignored: only a
+// tombstone deletes a contract.
+func (r *storeReader) Changes(events []store.Event) {
 	m := (*Membership)(r)
 	var contracts []*pb.Contract
-	upTo := m.followed
+	upTo := m.followedRevision
 	for _, e := range events {
 		upTo = e.Item.Revision
 		switch {
 		case strings.HasPrefix(e.Item.Key, contract.Prefix) && !e.Deleted:
 			contracts = m.appendContract(contracts, e.Item)
 		case strings.HasPrefix(e.Item.Key, EntriesPrefix):
-			m.entryChanged(e)
+			m.applyEntryEvent(e)
 		}
 	}
-	m.opts.Config.Apply(contracts, uint64(m.followed), uint64(upTo))
-	m.followed = upTo
-	m.storeReached(true, nil)
+	m.opts.Config.Apply(contracts, uint64(m.followedRevision), uint64(upTo))
+	m.followedRevision = upTo
+	m.setStoreReachable(true, nil)
 }
 
 // Lost implements follow.Reader.
-func (r *reader) Lost(err error) { (*Membership)(r).storeReached(false, err) }
+func (r *storeReader) Lost(err error) { (*Membership)(r).setStoreReachable(false, err) }
 
 // Reached implements follow.Reader.
-func (r *reader) Reached() { (*Membership)(r).storeReached(true, nil) }
+func (r *storeReader) Reached() { (*Membership)(r).setStoreReachable(true, nil) }
 
-// appendContract leaves out what can't be read: the revision in force stays.
+// appendContract appends the item's contract. An item that can't be decoded is ignored,
+// so that the revision in force stays.
 func (m *Membership) appendContract(to []*pb.Contract, item store.Item) []*pb.Contract {
 	record, err := contract.Decode(item.Key, item.Value, uint64(item.Revision))
 	if err != nil {
@@ -91,62 +93,62 @@
 	return append(to, &p)
 }
 
-func (m *Membership) entryChanged(e store.Event) {
+func (m *Membership) applyEntryEvent(e store.Event) {
 	if e.Deleted {
 		incarnation := strings.TrimPrefix(e.Item.Key, EntriesPrefix)
 		m.update(func(now time.Time, s *member.Set) { s.Withdrawn(now, incarnation) })
-		m.relist()
+		m.requestList()
 		return
 	}
 	for _, p := range m.appendPeer(nil, e.Item) {
 		m.update(func(now time.Time, s *member.Set) {
 			s.Announced(now, p)
-			m.seeSelf(p)
+			m.checkSelf(p)
 		})
 	}
 }
 
-// seeSelf notes that the store showed this entry's own announcement: it has then
-// shown all that were announced before. Of two entries that start together at
-// least one so knows of the other.
-func (m *Membership) seeSelf(p *pb.Peer) {
+// checkSelf completes the discovery if p is this entry's own announcement: by then the
+// store has shown all earlier ones. Of two entries that start together, at least one
+// therefore knows the other.
+func (m *Membership) checkSelf(p *pb.Peer) {
 	if p.Incarnation == m.opts.Self.Incarnation {
-		m.settled = true
+		m.discovered = true
 	}
 }
 
-// relist has the list read again by announce; one reading serves all that is
-// asked meanwhile.
-func (m *Membership) relist() {
+// requestList makes announce read the list of entries again. One read serves all requests
+// made until then.
+func (m *Membership) requestList() {
 	select {
-	case m.again <- struct{}{}:
+	case m.listRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Waits between attempts to announce. The upper one spreads the return of all
-// entries after an outage.
+// Bounds of the backoff between attempts to announce. The upper one spreads the calls of
+// all entries when the store returns after an outage.
 const (
-	minAnnounceWait = 500 * time.Millisecond
-	maxAnnounceWait = 20 * time.Second
+	minAnnounceBackoff = 500 * time.Millisecond
+	maxAnnounceBackoff = 20 * time.Second
 )
 
-// announce keeps this entry's announcement in the store until the context ends
+// announce keeps this entry's announcement in the store until the context is cancelled
 // or the entry leaves.
 func (m *Membership) announce(ctx context.Context) {
 	a := announcement{m: m, key: EntriesPrefix + m.opts.Self.Incarnation}
-	failed := 0
+	failures := 0
 	for {
 		wait := m.opts.LeaseTTL / 2
 		wait = wait*9/10 + time.Duration(m.opts.Random()*float64(wait)/10)
 		if err := a.renew(ctx); err != nil {
-			failed++
-			wait = retry.Backoff(minAnnounceWait, maxAnnounceWait, failed, m.opts.Random())
+			failures++
+			wait = retry.Backoff(minAnnounceBackoff, maxAnnounceBackoff, failures, m.opts.Random())
 		} else {
-			failed = 0
-			m.announced(ctx, a.since)
+			failures = 0
+			m.renewed(ctx, a.renewedAt)
 		}
-		if !m.untilRenewal(ctx, wait) {
+		if !m.waitForRenewal(ctx, wait) {
 			break
 		}
 	}
@@ -155,16 +157,16 @@
 	}
 }
 
-// untilRenewal waits, and reads the list where that is asked for. False: the
-// announcement ends.
-func (m *Membership) untilRenewal(ctx context.Context, wait time.Duration) bool {
+// waitForRenewal waits until the next renewal is due, and reads the list of entries on
+// request. It returns false if the announcement must end.
+func (m *Membership) waitForRenewal(ctx context.Context, wait time.Duration) bool {
 	due := time.After(wait)
 	for {
 		select {
 		case <-due:
 			return true
-		case <-m.again:
-			m.list(ctx)
+		case <-m.listRequested:
+			m.listEntries(ctx)
 		case <-m.leave:
 			return false
 		case <-ctx.Done():
@@ -173,18 +175,18 @@
 	}
 }
 
-// announced passes on that the announcement was renewed by a call that began
-// then. The margin is for clocks that run at different rates.
-func (m *Membership) announced(ctx context.Context, began time.Time) {
-	m.update(func(_ time.Time, s *member.Set) { s.Lease(began) })
-	if m.opts.Announced != nil && m.opts.Announced(began.Add(m.opts.LeaseTTL*9/10)) {
-		m.list(ctx)
+// renewed reports a renewal of the announcement by a call that began at the given time.
+// A tenth of the lease is kept as a margin for clocks that run at different rates.
+func (m *Membership) renewed(ctx context.Context, start time.Time) {
+	m.update(func(_ time.Time, s *member.Set) { s.Lease(start) })
+	if m.opts.OnAnnounced != nil && m.opts.OnAnnounced(start.Add(m.opts.LeaseTTL*9/10)) {
+		m.listEntries(ctx)
 	}
 }
 
-// list reads which entries the store names and passes that on.
-func (m *Membership) list(ctx context.Context) {
-	if m.opts.Listed == nil {
+// listEntries reads the store's list of entries and passes it to Options.OnListed.
+func (m *Membership) listEntries(ctx context.Context) {
+	if m.opts.OnListed == nil {
 		return
 	}
 	readAt := time.Now()
@@ -197,7 +199,7 @@
 	for _, item := range items {
 		incarnations = append(incarnations, strings.TrimPrefix(item.Key, EntriesPrefix))
 	}
-	m.opts.Listed(readAt, incarnations)
+	m.opts.OnListed(readAt, incarnations)
 }
 
 // announcement is this entry's key in the store.
@@ -206,12 +208,12 @@
 	key     string
 	lease   store.LeaseID
 	written bool
-	// since is when the call began that granted or renewed the lease last: from
-	// then on it lasts for its whole time at least.
-	since time.Time
+	// renewedAt is when the last call that granted or renewed the lease began. The lease
+	// is valid for at least its TTL from then on.
+	renewedAt time.Time
 }
 
-// renew renews the lease, or announces anew where it has lapsed.
+// renew renews the lease. If that has lapsed, it announces the entry again.
 func (a *announcement) renew(ctx context.Context) error {
 	if a.written {
 		err := a.keepAlive(ctx)
@@ -226,7 +228,7 @@
 		if err != nil {
 			return err
 		}
-		a.lease, a.since = lease, began
+		a.lease, a.renewedAt = lease, began
 	}
 	return a.write(ctx)
 }
@@ -235,7 +237,7 @@
 	began := time.Now()
 	err := a.m.opts.Store.KeepAlive(ctx, a.lease)
 	if err == nil {
-		a.since = began
+		a.renewedAt = began
 	}
 	return err
 }
@@ -257,8 +259,8 @@
 	return err
 }
 
-// adopt takes over the key that a write of this process has left whose answer
-// was lost: nobody else writes a key named by this incarnation.
+// adopt takes over a key written by a call of this process whose answer was lost. No
+// other process writes a key named after this incarnation.
 func (a *announcement) adopt(ctx context.Context) error {
 	item, err := a.m.opts.Store.Get(ctx, a.key)
 	if err != nil {
@@ -268,7 +270,7 @@
 	return a.keepAlive(ctx)
 }
 
-// withdraw ends the announcement; if that fails the lease lapses by itself.
+// withdraw ends the announcement. If that fails, the lease lapses by itself.
 func (a *announcement) withdraw(ctx context.Context) {
 	if a.lease != 0 {
 		_ = a.m.opts.Store.Revoke(ctx, a.lease)
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -136,7 +136,7 @@
 	switch {
 	case e.config.Snapshot().Covered() == 0:
 		return errNotReady.New("no contracts received yet")
-	case !e.membership.Settled():
+	case !e.membership.Discovered():
 		return errNotReady.New("other entries not discovered yet")
 	case !e.HoldsParts():
 		return errNotReady.New("no share of any contract held yet")
@@ -212,10 +212,10 @@
 	}
 	e.membership = membership.New(membership.Options{
 		Self: e.self, Store: client, Config: e.config, Join: b.opts.Settings.Join,
-		Events:    b.ring,
-		Exchanger: countingExchanger{membership.NewConnect(b.tls.nodes.Config()), b.metrics},
-		Extend:    e.ExtendState, Received: e.StateReceived,
-		OnPeers: e.SetPeers, OnStarters: e.startersChanged, Announced: e.Announced, Listed: e.Listed,
+		Events:      b.ring,
+		Exchanger:   countingExchanger{membership.NewConnect(b.tls.nodes.Config()), b.metrics},
+		ExtendState: e.ExtendState, OnState: e.StateReceived,
+		OnPeers: e.SetPeers, OnStarters: e.startersChanged, OnAnnounced: e.Announced, OnListed: e.Listed,
 		LeaseTTL: b.opts.LeaseTTL, Member: b.opts.Member, Logger: b.log,
 	})
 	// Fence the entry until the shares of the other entries are known.
