--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -32,13 +32,13 @@
 // LeasedAgent is a complete agent process beside a worker that runs tasks under
 // leases.
 type LeasedAgent struct {
-	opts    LeasedAgentOptions
-	log     *decisionlog.Log
-	logger  *slog.Logger
-	runner  *runner.Runner
-	records *workerrecord.Keeper
-	reports net.Listener
-	metrics *leasedMetrics
+	opts     LeasedAgentOptions
+	log      *decisionlog.Log
+	logger   *slog.Logger
+	runner   *runner.Runner
+	recorder *workerrecord.Recorder
+	reports  net.Listener
+	metrics  *leasedMetrics
 }
 
 // NewLeasedAgent assembles an agent and binds the port for the worker's reports.
@@ -72,7 +72,7 @@
 			Token: uint64(time.Now().UnixMilli()), Without: disabled, Decided: runnerLogger(a.log, a.metrics),
 		},
 	})
-	a.records = workerrecord.New(workerrecord.Options{Store: client, Agent: s.Name, Logger: a.logger})
+	a.recorder = workerrecord.New(workerrecord.Options{Store: client, Agent: s.Name, Logger: a.logger})
 	a.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.Silence.Milliseconds(),
 		"lease_ms", times.Lease.Milliseconds())
 	return a, nil
@@ -89,7 +89,7 @@
 		cancel()
 		return err
 	}
-	reportsServer := &http.Server{Handler: adapter.NewReportsHandler(recordingReports{a.runner, a.records}, a.logger), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	reportsServer := &http.Server{Handler: adapter.NewReportsHandler(recordingReports{a.runner, a.recorder}, a.logger), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	failed := make(chan error, 1)
 	go func() { failed <- serveHTTP(reportsServer, a.reports) }()
 	go a.runner.Run()
@@ -119,24 +119,24 @@
 // restoreWorker applies the stored record of the worker, then keeps the record up to
 // date until the context is cancelled.
 func (a *LeasedAgent) restoreWorker(ctx context.Context) {
-	if w, ok := a.records.Read(ctx); ok {
+	if w, ok := a.recorder.Read(ctx); ok {
 		a.runner.Recalled(w)
 	}
-	a.records.Run(ctx)
+	a.recorder.Run(ctx)
 }
 
 // recordingReports passes a worker's reports to the runner, and records those that the
 // runner accepts.
 type recordingReports struct {
-	runner  *runner.Runner
-	records *workerrecord.Keeper
+	runner   *runner.Runner
+	recorder *workerrecord.Recorder
 }
 
 // Reported implements adapter.Reports.
 func (r recordingReports) Reported(w corerunner.Worker) bool {
 	ok := r.runner.Reported(w)
 	if ok {
-		r.records.Reported(w)
+		r.recorder.Reported(w)
 	}
 	return ok
 }
@@ -144,7 +144,7 @@
 // Left implements adapter.Reports.
 func (r recordingReports) Left(id string) {
 	r.runner.Left(id)
-	r.records.Left(id)
+	r.recorder.Left(id)
 }
 
 // Reload applies a replaced settings file. Only the list of seeds can change while
--- a/node/workerrecord/workerrecord.go
+++ b/node/workerrecord/workerrecord.go
@@ -1,9 +1,9 @@
-// Package workerrecord keeps in the platform's store what an agent knows of its worker's
-// life, for the agent's next process.
+// Package workerrecord stores the current incarnation of an agent's worker, with its
+// capacity and labels, in the platform's store for the agent's next process.
 //
-// Without it a worker whose agent was restarted gets no work until its next report. What is
-// read counts only if the worker answers as the life that is on record, which has the capacity
-// and labels that it had.
+// Without the record, a worker whose agent was restarted gets no work until its next report.
+// A record is used only if the worker answers as the recorded incarnation, since that has
+// the recorded capacity and labels.
 package workerrecord
 
 import (
@@ -20,44 +20,46 @@
 )
 
 const (
-	// prefix of the records' keys.
-	prefix = "papayahoist/workers/"
-	// ttl is how long a record outlasts its agent, and renewEvery how often it is written
-	// anew. At 11,000 workers that is 23 records a second, two calls each.
-	ttl        = 10 * time.Minute
-	renewEvery = 8 * time.Minute
-	// writeWithin spreads the records of a site that begins as a whole: those of 11,000
-	// workers are 275 a second, of the several hundred writes that the store takes.
-	writeWithin = 40 * time.Second
-	// readWithin bounds how long a new process waits for its record: the worker's next
-	// report may come any moment.
-	readWithin = time.Second
+	// keyPrefix is the prefix of the records' keys.
+	keyPrefix = "papayahoist/workers/"
+	// recordTTL is how long a record outlasts its last write, and renewInterval the interval
+	// at which it is written again. At 11,000 workers that is 23 records per second, with two
+	// calls each.
+	recordTTL     = 10 * time.Minute
+	renewInterval = 8 * time.Minute
+	// maxWriteDelay is the longest random delay before a write. It spreads the writes of a
+	// site whose workers all start at once: those of 11,000 workers are 275 per second, and
+	// the store handles several hundred.
+	maxWriteDelay = 40 * time.Second
+	// readTimeout bounds how long a new process waits for its record. The worker's next
+	// report, which makes the record needless, may arrive at any moment.
+	readTimeout = time.Second
 )
 
-// Options configure a Keeper.
+// Options configure a Recorder.
 type Options struct {
 	Store  store.Client
 	Agent  string
 	Logger *slog.Logger
 }
 
-// Keeper keeps one agent's record.
-type Keeper struct {
-	o       Options
+// Recorder keeps the record of one agent's worker up to date.
+type Recorder struct {
+	opts    Options
 	changed chan struct{}
 
 	mu     sync.Mutex
-	worker runner.Worker // as last reported; no id: none is worth a record
-	// revision of the record as last read or written; zero: there is none. It counts while
-	// read, and spares a call for each change.
-	revision store.Revision
-	read     bool
+	worker runner.Worker // as last reported; without an ID there must be no record
+	// revision is that of the record as last read or written, zero if there is none. It
+	// saves a read before each write, and is valid only while revisionKnown is set.
+	revision      store.Revision
+	revisionKnown bool
 }
 
-// New returns a Keeper; Run writes.
-func New(o Options) *Keeper { return &Keeper{o: o, changed: make(chan struct{}, 1)} }
+// New returns a Recorder. It writes nothing until Run is called.
+func New(o Options) *Recorder { return &Recorder{opts: o, changed: make(chan struct{}, 1)} }
 
-// record is a worker's life in the store.
+// record is the stored form of a worker's incarnation.
 type record struct {
 	Worker    string   `json:"worker"`
 	Born      int64    `json:"born,omitempty"`
@@ -75,161 +77,164 @@
 	}
 }
 
-// Read returns the worker's life that an earlier process had on record. False: there is
-// none that can be read.
-func (k *Keeper) Read(ctx context.Context) (runner.Worker, bool) {
-	ctx, cancel := context.WithTimeout(ctx, readWithin)
+// Read returns the worker recorded by an earlier process. It returns false if there is no
+// record or if that can't be read or decoded.
+func (r *Recorder) Read(ctx context.Context) (runner.Worker, bool) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	item, err := k.get(ctx)
+	item, err := r.get(ctx)
 	if err != nil {
-		k.o.Logger.Warn("worker_record_not_read", "err", err)
+		r.opts.Logger.Warn("worker_record_not_read", "err", err)
 		return runner.Worker{}, false
 	}
 	if item.Revision == 0 {
 		return runner.Worker{}, false
 	}
-	var r record
-	if err := json.Unmarshal(item.Value, &r); err != nil || r.Worker == "" || r.Service == "" || r.CPUMillis <= 0 {
-		// Another writer's: it names no worker.
-		k.o.Logger.Warn("worker_record_unreadable", "revision", uint64(item.Revision), "err", err)
+	var rec record
+	if err := json.Unmarshal(item.Value, &rec); err != nil || rec.Worker == "" || rec.Service == "" || rec.CPUMillis <= 0 {
+		// Not written by an agent: it names no worker.
+		r.opts.Logger.Warn("worker_record_unreadable", "revision", uint64(item.Revision), "err", err)
 		return runner.Worker{}, false
 	}
-	return r.worker(), true
+	return rec.worker(), true
 }
 
-// get reads the record; its revision is zero if there is none.
-func (k *Keeper) get(ctx context.Context) (store.Item, error) {
-	item, err := k.o.Store.Get(ctx, k.key())
+// get reads the record. The revision of the item is zero if there is none.
+func (r *Recorder) get(ctx context.Context) (store.Item, error) {
+	item, err := r.opts.Store.Get(ctx, r.key())
 	if store.IsNotFound(err) {
 		item, err = store.Item{}, nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.revision, k.read = item.Revision, err == nil
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.revision, r.revisionKnown = item.Revision, err == nil
 	return item, err
 }
 
-func (k *Keeper) key() string { return prefix + k.o.Agent }
+func (r *Recorder) key() string { return keyPrefix + r.opts.Agent }
 
-// Reported takes in what the worker says of itself. One that leaves is worth no record.
-func (k *Keeper) Reported(w runner.Worker) {
+// Reported records a worker's report. The record of a draining worker is removed.
+func (r *Recorder) Reported(w runner.Worker) {
 	if w.Draining {
 		w = runner.Worker{}
 	}
-	k.set(w)
+	r.setWorker(w)
 }
 
-// Left takes in that a worker says it ends.
-func (k *Keeper) Left(id string) {
-	if k.current().ID == id {
-		k.set(runner.Worker{})
+// Left records that the worker with the id has stopped: its record is removed.
+func (r *Recorder) Left(id string) {
+	if r.currentWorker().ID == id {
+		r.setWorker(runner.Worker{})
 	}
 }
 
-func (k *Keeper) set(w runner.Worker) {
-	k.mu.Lock()
-	same := k.worker.Life == w.Life
-	k.worker = w
-	k.mu.Unlock()
+func (r *Recorder) setWorker(w runner.Worker) {
+	r.mu.Lock()
+	same := r.worker.Life == w.Life
+	r.worker = w
+	r.mu.Unlock()
 	if same {
 		return
 	}
 	select {
-	case k.changed <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) current() runner.Worker {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.worker
+func (r *Recorder) currentWorker() runner.Worker {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.worker
 }
 
-// Run keeps the record as the worker reports, until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+// Run writes the record when the worker changes, and renews it, until the context is
+// cancelled.
+func (r *Recorder) Run(ctx context.Context) {
 	for {
-		wait := renewEvery
-		if k.current().ID == "" {
+		wait := renewInterval
+		if r.currentWorker().ID == "" {
 			wait = 0 // nothing to renew
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.changed:
-		case <-after(wait):
+		case <-r.changed:
+		case <-afterOrNever(wait):
 		}
-		k.keep(ctx)
+		r.syncRecord(ctx)
 	}
 }
 
-// after fires after d; never for zero.
-func after(d time.Duration) <-chan time.Time {
+// afterOrNever returns a channel that receives after d, or never if d is zero.
+func afterOrNever(d time.Duration) <-chan time.Time {
 	if d == 0 {
 		return nil
 	}
 	return time.After(d)
 }
 
-// keep writes what the worker is now, or removes the record, and goes on until it is done.
-func (k *Keeper) keep(ctx context.Context) {
+// syncRecord writes or removes the record to match the current worker. It retries until
+// that has succeeded or the context is cancelled.
+func (r *Recorder) syncRecord(ctx context.Context) {
 	for ctx.Err() == nil {
-		if k.current().ID != "" {
-			// A worker that leaves has its record removed at once.
-			k.pause(ctx, rand.N(writeWithin))
+		if r.currentWorker().ID != "" {
+			// Writes are spread, but the record of a worker that leaves is removed at once.
+			r.pause(ctx, rand.N(maxWriteDelay))
 		}
-		w := k.current()
-		err := k.write(ctx, w)
-		if err == nil && k.current().Life == w.Life {
+		w := r.currentWorker()
+		err := r.write(ctx, w)
+		if err == nil && r.currentWorker().Life == w.Life {
 			return
 		}
 		if err != nil {
-			k.o.Logger.Warn("worker_record_not_written", "worker", w.Life.String(), "err", err)
-			k.pause(ctx, retryAfter)
+			r.opts.Logger.Warn("worker_record_not_written", "worker", w.Life.String(), "err", err)
+			r.pause(ctx, retryDelay)
 		}
 	}
 }
 
-// retryAfter is the pause after a call that failed.
-const retryAfter = time.Second
+// retryDelay is the wait after a failed call.
+const retryDelay = time.Second
 
-// pause waits, but not after the worker has changed.
-func (k *Keeper) pause(ctx context.Context, d time.Duration) {
+// pause waits for d, or until the worker has changed or the context is cancelled.
+func (r *Recorder) pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-k.changed:
+	case <-r.changed:
 	case <-time.After(d):
 	}
 }
 
-func (k *Keeper) write(ctx context.Context, w runner.Worker) error {
-	k.mu.Lock()
-	revision, read := k.revision, k.read
-	k.mu.Unlock()
-	if !read {
-		item, err := k.get(ctx)
+func (r *Recorder) write(ctx context.Context, w runner.Worker) error {
+	r.mu.Lock()
+	revision, known := r.revision, r.revisionKnown
+	r.mu.Unlock()
+	if !known {
+		item, err := r.get(ctx)
 		if err != nil {
 			return err
 		}
 		revision = item.Revision
 	}
-	revision, err := k.change(ctx, revision, w)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	// After a failure the change may have been made.
-	k.revision, k.read = revision, err == nil
+	revision, err := r.change(ctx, revision, w)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	// After a failure it is not known whether the change was made.
+	r.revision, r.revisionKnown = revision, err == nil
 	return err
 }
 
-// change writes or removes the record as of a revision, and returns the next one.
-func (k *Keeper) change(ctx context.Context, revision store.Revision, w runner.Worker) (store.Revision, error) {
+// change writes the record of w, or removes it if w has no ID, provided that its revision
+// in the store is the given one. It returns the new revision, zero after a removal.
+func (r *Recorder) change(ctx context.Context, revision store.Revision, w runner.Worker) (store.Revision, error) {
 	if w.ID == "" {
 		if revision == 0 {
 			return 0, nil
 		}
-		return 0, k.o.Store.Delete(ctx, k.key(), revision)
+		return 0, r.opts.Store.Delete(ctx, r.key(), revision)
 	}
-	lease, err := k.o.Store.Grant(ctx, ttl)
+	lease, err := r.opts.Store.Grant(ctx, recordTTL)
 	if err != nil {
 		return 0, err
 	}
@@ -237,5 +242,5 @@
 		Worker: w.ID, Born: w.Born, Service: w.Service, Labels: w.Labels,
 		CPUMillis: w.Capacity.CPUMillis, MemoryMB: w.Capacity.MemoryMB, GPUs: w.Capacity.GPUs,
 	})
-	return k.o.Store.CompareAndSwap(ctx, k.key(), revision, value, lease)
+	return r.opts.Store.CompareAndSwap(ctx, r.key(), revision, value, lease)
 }
--- a/node/workerrecord/workerrecord_test.go
+++ b/node/workerrecord/workerrecord_test.go
@@ -15,18 +15,18 @@
 	"github.com/papayahoist/papayahoist/platform/store"
 )
 
-// fakeStore has one key.
+// fakeStore is a store with one key.
 type fakeStore struct {
 	store.Client
-	mu    sync.Mutex
-	item  store.Item
-	away  bool
-	calls int
+	mu          sync.Mutex
+	item        store.Item
+	unavailable bool
+	calls       int
 }
 
 func (s *fakeStore) call() error {
 	s.calls++
-	if s.away {
+	if s.unavailable {
 		return store.Unavailable.New("away")
 	}
 	return nil
@@ -76,118 +76,118 @@
 	return 1, s.call()
 }
 
-func (s *fakeStore) made() int {
+func (s *fakeStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *fakeStore) setAway(away bool) {
+func (s *fakeStore) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-var worker = runner.Worker{Life: runner.Life{ID: "w1"}, Service: "s", Labels: []string{"a", "r1"}, Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000, GPUs: 2}}
+var testWorker = runner.Worker{Life: runner.Life{ID: "w1"}, Service: "s", Labels: []string{"a", "r1"}, Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000, GPUs: 2}}
 
-func run(t *testing.T, s *fakeStore) *Keeper {
-	k := New(Options{Store: s, Agent: "a1", Logger: slog.New(slog.DiscardHandler)})
+func runRecorder(t *testing.T, s *fakeStore) *Recorder {
+	r := New(Options{Store: s, Agent: "a1", Logger: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go k.Run(ctx)
-	return k
+	go r.Run(ctx)
+	return r
 }
 
-// An agent is killed, and its next process must know the worker without a report.
-func TestNextProcessReadsTheRecord(t *testing.T) {
+// An agent is killed. Its next process must restore the worker without a report.
+func TestNextProcessReadsRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{}
-		reported := worker
+		reported := testWorker
 		reported.Sequence = 9
-		run(t, s).Reported(reported)
-		time.Sleep(writeWithin + time.Second)
-		got, ok := run(t, s).Read(t.Context())
-		if diff := cmp.Diff(worker, got); !ok || diff != "" {
+		runRecorder(t, s).Reported(reported)
+		time.Sleep(maxWriteDelay + time.Second)
+		got, ok := runRecorder(t, s).Read(t.Context())
+		if diff := cmp.Diff(testWorker, got); !ok || diff != "" {
 			t.Errorf("read %v: %s", ok, diff)
 		}
 	})
 }
 
-// At the start of a fleet each agent reads its record and writes one. Two more reads for each
-// made the store's calls a third more.
+// When a fleet starts, each agent reads its record and writes one, with three calls in all.
+// Two more reads per agent would add a third to the store's calls.
 func TestRecordCostsThreeCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{}
-		k := run(t, s)
-		k.Read(t.Context())
-		k.Reported(worker)
-		time.Sleep(writeWithin + time.Second)
-		if got := s.made(); got != 3 {
+		r := runRecorder(t, s)
+		r.Read(t.Context())
+		r.Reported(testWorker)
+		time.Sleep(maxWriteDelay + time.Second)
+		if got := s.callCount(); got != 3 {
 			t.Errorf("%d calls, want a read, a lease and a write", got)
 		}
-		// Another writer changes it: what was read no longer counts.
+		// Another writer changes the record, so the known revision is out of date.
 		s.mu.Lock()
 		s.item.Revision += 5
 		s.mu.Unlock()
-		next := worker
+		next := testWorker
 		next.Born = 7
-		k.Reported(next)
-		time.Sleep(2 * writeWithin)
-		if got, ok := run(t, s).Read(t.Context()); !ok || got.Born != 7 {
+		r.Reported(next)
+		time.Sleep(2 * maxWriteDelay)
+		if got, ok := runRecorder(t, s).Read(t.Context()); !ok || got.Born != 7 {
 			t.Errorf("read %v (%v)", got, ok)
 		}
 	})
 }
 
-// A worker says that it leaves. A process that begins after that must not take it for one
-// that stays, also when the store was away at that moment.
-func TestWorkerThatLeavesIsOffTheRecord(t *testing.T) {
+// A worker drains. The agent's next process must not restore it from the record, even if
+// the store was unreachable when the worker began to drain.
+func TestRecordOfDrainingWorkerIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{}
-		k := run(t, s)
-		k.Reported(worker)
-		time.Sleep(writeWithin + time.Second)
-		s.setAway(true)
-		leaving := worker
+		r := runRecorder(t, s)
+		r.Reported(testWorker)
+		time.Sleep(maxWriteDelay + time.Second)
+		s.setUnavailable(true)
+		leaving := testWorker
 		leaving.Draining = true
-		k.Reported(leaving)
+		r.Reported(leaving)
 		time.Sleep(3 * time.Second)
-		s.setAway(false)
-		time.Sleep(2 * retryAfter)
-		if w, ok := k.Read(t.Context()); ok {
-			t.Errorf("on record: %v", w)
+		s.setUnavailable(false)
+		time.Sleep(2 * retryDelay)
+		if w, ok := r.Read(t.Context()); ok {
+			t.Errorf("still recorded: %v", w)
 		}
 	})
 }
 
-// The same worker reports each second or two. The store must not hear of it: it takes some
-// hundred writes a second from the whole fleet.
-func TestReportsOfTheSameLifeCostNoCalls(t *testing.T) {
+// A worker reports every one or two seconds. Reports of the same incarnation must not cause
+// calls to the store, which handles several hundred writes per second for the whole fleet.
+func TestReportsOfSameIncarnationCostNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{}
-		k := run(t, s)
-		k.Reported(worker)
-		time.Sleep(writeWithin + time.Second)
-		before := s.made()
+		r := runRecorder(t, s)
+		r.Reported(testWorker)
+		time.Sleep(maxWriteDelay + time.Second)
+		before := s.callCount()
 		for range 100 {
-			k.Reported(worker)
+			r.Reported(testWorker)
 			time.Sleep(time.Second)
 		}
-		if made := s.made(); made != before {
-			t.Errorf("%d calls in 100 s", made-before)
+		if calls := s.callCount(); calls != before {
+			t.Errorf("%d calls in 100 s", calls-before)
 		}
-		time.Sleep(renewEvery + writeWithin)
-		if s.made() == before {
+		time.Sleep(renewInterval + maxWriteDelay)
+		if s.callCount() == before {
 			t.Error("the record was not renewed before its lease ends")
 		}
 	})
 }
 
-// Another writer's bytes stand at the key. They name no worker.
+// Another writer has stored invalid data at the key. It names no worker.
 func TestUnreadableRecordNamesNoWorker(t *testing.T) {
 	for _, text := range []string{"", "{", `{"worker":7}`, `{"worker":"w1"}`, `{"worker":"w1","service":"s","cpu_millis":0}`} {
-		k := New(Options{Store: &fakeStore{item: store.Item{Key: prefix + "a1", Value: []byte(text), Revision: 1}}, Agent: "a1", Logger: slog.New(slog.DiscardHandler)})
-		if w, ok := k.Read(t.Context()); ok {
+		r := New(Options{Store: &fakeStore{item: store.Item{Key: keyPrefix + "a1", Value: []byte(text), Revision: 1}}, Agent: "a1", Logger: slog.New(slog.DiscardHandler)})
+		if w, ok := r.Read(t.Context()); ok {
 			t.Errorf("%q names %v", text, w)
 		}
 	}
