--- a/node/membership/exchange.go
+++ b/node/membership/exchange.go
@@ -32,11 +32,12 @@
 	return m.stateFor(state.GetSelf().GetIncarnation(), state.ConfigRevision)
 }
 
-// applyState applies the state of another entry. For asked see member.Set.Heard.
-func (m *Membership) applyState(asked string, state *pb.PeerState) {
+// applyState applies the state of another entry. Target is the incarnation that the
+// exchange was meant for, empty if that is not known.
+func (m *Membership) applyState(target string, state *pb.PeerState) {
 	m.opts.Config.Apply(state.Contracts, state.ConfigSince, state.ConfigRevision)
 	m.update(func(now time.Time, s *member.Set) {
-		s.Heard(now, asked, state)
+		s.Heard(now, target, state)
 		// Without the store, one member suffices, since it names the others.
 		m.discovered = m.discovered || (!m.storeReachable && len(s.Members()) > 0)
 	})
@@ -97,12 +98,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	asks := m.set.Tick(now)
+	due := m.set.Tick(now)
 	m.publish()
 	if next := m.set.Next(); !next.IsZero() {
 		timer.Reset(max(time.Millisecond, next.Sub(now)))
 	}
-	return asks
+	return due
 }
 
 // exchange makes one exchange, and repeats it while the other entry has more
--- a/node/membership/store.go
+++ b/node/membership/store.go
@@ -24,7 +24,7 @@
 type storeReader Membership
 
 // Snapshot implements follow.Reader.
-func (r *storeReader) Snapshot(items []store.Item, at store.Revision) {
+func (r *storeReader) Snapshot(items []store.Item, revision store.Revision) {
 	m := (*Membership)(r)
 	var contracts []*pb.Contract
 	var peers []*pb.Peer
@@ -36,8 +36,8 @@
 			peers = m.appendPeer(peers, item)
 		}
 	}
-	m.opts.Config.Apply(contracts, 0, uint64(at))
-	m.followedRevision = at
+	m.opts.Config.Apply(contracts, 0, uint64(revision))
+	m.followedRevision = revision
 	m.update(func(now time.Time, s *member.Set) {
 		s.Listed(now, peers)
 		for _, p := range peers {
--- a/node/process/fleet_test.go
+++ b/node/process/fleet_test.go
@@ -102,7 +102,7 @@
 	return started
 }
 
-// waitUntil polls waitUntil the condition holds, and fails the test after a minute.
+// waitUntil polls until the condition holds, and fails the test after a minute.
 func (f *fleet) waitUntil(what string, holds func() bool) {
 	f.t.Helper()
 	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
--- a/node/process/leased_test.go
+++ b/node/process/leased_test.go
@@ -171,7 +171,7 @@
 	s.store.Put(adapter.ConfigurationKey, text)
 }
 
-// waitUntil polls waitUntil the condition holds; the test's time limit bounds it.
+// waitUntil polls until the condition holds; the test's time limit bounds it.
 func (s *leasedSite) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
 	for !ok() {
