--- a/dispatch/leasedcheck/check.go
+++ b/dispatch/leasedcheck/check.go
@@ -13,45 +13,45 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// checker holds the promises against what workers and callers see.
+// checker verifies the guarantees against what workers and callers observe.
 type checker struct {
-	w       *World
-	running map[string]map[*simWorker]uint32 // by task, at workers that are up
-	started map[string]bool                  // jobs of which some task began
-	done    map[string]bool                  // tasks that ended well
-	refused map[string]bool                  // jobs all of whose attempts were refused
-	starts  map[string]int                   // by task
-	r       Result
+	w         *World
+	running   map[string]map[*simWorker]uint32 // by task, on workers that are up
+	started   map[string]bool                  // jobs of which some task has started
+	succeeded map[string]bool                  // tasks that have succeeded
+	refused   map[string]bool                  // jobs whose attempts were all answered with NotRun
+	starts    map[string]int                   // by task
+	r         Result
 }
 
-func (c *checker) broken(format string, args ...any) {
+func (c *checker) violated(format string, args ...any) {
 	text := fmt.Sprintf("%.3f s: ", c.w.now.Sub(time.Unix(1_000_000, 0)).Seconds()) + fmt.Sprintf(format, args...)
 	c.w.trace("BROKEN %s", text)
-	c.r.Broken = append(c.r.Broken, text)
+	c.r.Violations = append(c.r.Violations, text)
 }
 
-// crashStarts is how often a task that crashes its workers may be started: until three have
-// crashed, and twice more.
-const crashStarts = 5
+// maxCrashStarts bounds the starts of a task that crashes its workers: until three workers
+// have crashed, and two more.
+const maxCrashStarts = 5
 
-// callerOf is the number of the caller whose job a task is of.
-func callerOf(task string) int {
-	n, _ := strconv.ParseInt(jobOf(task), 16, 64)
+// callerIndex returns the index of the caller that submitted the task's job.
+func callerIndex(task string) int {
+	n, _ := strconv.ParseInt(jobID(task), 16, 64)
 	return int(n - 1)
 }
 
-func jobOf(task string) string { return task[:strings.IndexByte(task, '.')] }
+func jobID(task string) string { return task[:strings.IndexByte(task, '.')] }
 
-func (c *checker) begins(s *simWorker, r *simRun) {
+func (c *checker) runStarted(s *simWorker, r *simRun) {
 	c.r.Starts++
-	c.w.trace("%s begins %s run %d", s.id(), r.task, r.run)
-	job := jobOf(r.task)
+	c.w.trace("%s starts %s run %d", s.id(), r.task, r.run)
+	job := jobID(r.task)
 	c.started[job] = true
 	if c.refused[job] {
-		c.broken("%s run %d begins on %s after its job was said not to have run", r.task, r.run, s.id())
+		c.violated("%s run %d starts on %s after its job was answered as not run", r.task, r.run, s.id())
 	}
 	if len(c.running[r.task]) > 0 {
-		c.broken("%s run %d begins on %s while it runs elsewhere", r.task, r.run, s.id())
+		c.violated("%s run %d starts on %s while another run of the task is active", r.task, r.run, s.id())
 	}
 	if c.running[r.task] == nil {
 		c.running[r.task] = map[*simWorker]uint32{}
@@ -61,112 +61,112 @@
 	for _, x := range s.runs {
 		used += x.cpu
 	}
-	if used > s.room() {
-		c.broken("%s has %d of %d taken with %s", s.id(), used, s.room(), r.task)
+	if used > s.effectiveCapacity() {
+		c.violated("%s uses %d of %d millicores with %s", s.id(), used, s.effectiveCapacity(), r.task)
 	}
 	c.starts[r.task]++
 }
 
-func (c *checker) ends(s *simWorker, task string) {
+func (c *checker) runEnded(s *simWorker, task string) {
 	c.w.trace("%s ends %s", s.id(), task)
 	delete(c.running[task], s)
 }
 
 func (c *checker) result() Result {
 	for _, x := range c.w.callers {
-		if !x.over {
-			c.broken("caller of %s got no answer", x.id)
+		if !x.finished {
+			c.violated("caller of %s received no answer", x.id)
 		}
 	}
 	for _, task := range sortedKeys(c.starts) {
-		x := c.w.callers[callerOf(task)]
-		if crashesOf(x.job.Payload) && c.starts[task] > crashStarts {
-			c.broken("%s was started %d times and crashed as many workers", task, c.starts[task])
+		x := c.w.callers[callerIndex(task)]
+		if crashesWorker(x.job.Payload) && c.starts[task] > maxCrashStarts {
+			c.violated("%s, which crashes its workers, was started %d times", task, c.starts[task])
 		}
 	}
-	c.restored()
+	c.checkEvacuations()
 	return c.r
 }
 
-// caller sends one job, and again when a connection breaks.
+// caller submits one job, and resends it when its connection breaks.
 type caller struct {
-	w       *World
-	id      string
-	job     dispatcher.Job
-	ends    time.Time
-	tries   int
-	refused int
-	over    bool
-	// Of a load: when it was sent, its kind and objective.
-	sent      time.Time
+	w        *World
+	id       string
+	job      dispatcher.Job
+	deadline time.Time
+	attempts int
+	refusals int
+	finished bool
+	// Set in a load only: when the job was sent, its kind and its latency objective.
+	sentAt    time.Time
 	kind      int
 	objective time.Duration
 }
 
-// attempt is one request of a caller at an entry.
+// attempt is one request of a caller to an entry.
 type attempt struct {
-	c      *caller
-	e      *entryNode
-	life   int
-	number uint64
-	over   bool
-	left   bool // the entry has read the end of the connection
+	c            *caller
+	e            *entryNode
+	incarnation  int
+	number       uint64
+	finished     bool
+	disconnected bool // the entry has noticed that the connection is closed
 }
 
-// The payload of a task says what a worker makes of it.
-func payload(cpu int64, length time.Duration) string {
-	return fmt.Sprintf("%d %d", cpu, length.Milliseconds())
+// payload encodes the CPU demand in millicores and the run time of a task for simWorker.
+func payload(cpu int64, runTime time.Duration) string {
+	return fmt.Sprintf("%d %d", cpu, runTime.Milliseconds())
 }
 
-// crashes marks the payload of a task that crashes each worker that starts it.
-const crashes = "crashes "
+// crashPrefix marks the payload of a task that crashes each worker that starts it.
+const crashPrefix = "crashes "
 
-func crashesOf(payload string) bool { return strings.HasPrefix(payload, crashes) }
+func crashesWorker(payload string) bool { return strings.HasPrefix(payload, crashPrefix) }
 
-func cpuOf(payload string) int64 {
-	payload = strings.TrimPrefix(payload, crashes)
+func payloadCPU(payload string) int64 {
+	payload = strings.TrimPrefix(payload, crashPrefix)
 	n, _ := strconv.ParseInt(payload[:strings.IndexByte(payload, ' ')], 10, 64)
 	return n
 }
 
-func lengthOf(payload string) time.Duration {
-	payload = strings.TrimPrefix(payload, crashes)
+func payloadRunTime(payload string) time.Duration {
+	payload = strings.TrimPrefix(payload, crashPrefix)
 	n, _ := strconv.ParseInt(payload[strings.IndexByte(payload, ' ')+1:], 10, 64)
 	return time.Duration(n) * time.Millisecond
 }
 
 func (w *World) newCaller() {
 	cpu := int64(300 + w.rand.IntN(1200))
-	length := time.Duration(30+w.rand.IntN(300)) * time.Millisecond
+	runTime := time.Duration(30+w.rand.IntN(300)) * time.Millisecond
 	if w.chance(0.2) {
-		length += time.Duration(w.rand.IntN(1500)) * time.Millisecond
+		runTime += time.Duration(w.rand.IntN(1500)) * time.Millisecond
 	}
 	if w.chance(0.05) {
-		// Longer than a caller takes to come back after a loss.
-		length += time.Duration(w.rand.IntN(4000)) * time.Millisecond
+		// Longer than a caller waits before it resends after a lost connection.
+		runTime += time.Duration(w.rand.IntN(4000)) * time.Millisecond
 	}
-	estimated := time.Duration(float64(length) * (0.5 + w.rand.Float64()))
+	estimated := time.Duration(float64(runTime) * (0.5 + w.rand.Float64()))
 	x := &caller{w: w, id: fmt.Sprintf("%016x", len(w.callers)+1)}
-	limit := 3*length + 500*time.Millisecond + w.upTo(2*time.Second)
+	limit := 3*runTime + 500*time.Millisecond + w.jitter(2*time.Second)
 	x.job = dispatcher.Job{
 		ID: x.id, Queue: &pb.Queue{Name: "q", Service: "s", Priority: uint32(w.rand.IntN(3)), Attempts: 3, Stretch: 1.6, TargetMs: 60},
-		Payload: payload(cpu, length), TimeLimit: limit,
+		Payload: payload(cpu, runTime), TimeLimit: limit,
 		Steps: []dispatcher.Step{{Count: 1 + w.rand.IntN(5), Size: size.Size{CPUMillis: cpu}, Estimated: estimated}},
 	}
-	if w.o.Reborn && w.chance(0.01) {
-		x.job.Payload = crashes + x.job.Payload
+	if w.o.WorkerRestarts && w.chance(0.01) {
+		x.job.Payload = crashPrefix + x.job.Payload
 		x.job.Steps[0].Count = 1
 	}
-	x.ends = w.now.Add(limit)
+	x.deadline = w.now.Add(limit)
 	w.callers = append(w.callers, x)
 	x.send()
 }
 
 func (x *caller) send() {
-	if x.over {
+	if x.finished {
 		return
 	}
-	if !x.w.now.Before(x.ends) {
+	if !x.w.now.Before(x.deadline) {
 		x.finish(&x.w.checker.r.Other)
 		return
 	}
@@ -174,33 +174,33 @@
 }
 
 func (x *caller) sendTo(e *entryNode) {
-	x.tries++
+	x.attempts++
 	if !e.up {
-		x.w.at(resend, x.send)
+		x.w.schedule(resendDelay, x.send)
 		return
 	}
-	t := &attempt{c: x, e: e, life: e.life}
-	x.w.at(time.Millisecond, func() { e.run(t.life, t.submit) })
-	x.w.at(max(0, x.ends.Sub(x.w.now)), t.leave)
+	t := &attempt{c: x, e: e, incarnation: e.incarnation}
+	x.w.schedule(time.Millisecond, func() { e.run(t.incarnation, t.submit) })
+	x.w.schedule(max(0, x.deadline.Sub(x.w.now)), t.expire)
 	if x.w.chance(0.03) {
-		// The caller's own connection breaks, and it sends the job again.
-		x.w.at(x.w.upTo(300*time.Millisecond), func() { t.hangUp() })
+		// The caller's own connection breaks, and it resends the job.
+		x.w.schedule(x.w.jitter(300*time.Millisecond), func() { t.disconnect() })
 	}
 	if !e.up {
-		t.broken()
+		t.connectionLost()
 	}
 }
 
 func (t *attempt) submit() {
-	if hold := t.e.wake.Hold(t.e.w.now, t.e.steady()); hold > 0 {
-		t.e.after(hold, t.take)
+	if hold := t.e.suspension.Hold(t.e.w.now, t.e.steadyClock()); hold > 0 {
+		t.e.after(hold, t.admit)
 		return
 	}
-	t.take()
+	t.admit()
 }
 
-func (t *attempt) take() {
-	if t.left {
+func (t *attempt) admit() {
+	if t.disconnected {
 		return
 	}
 	if !t.e.configured() {
@@ -209,7 +209,7 @@
 	}
 	t.e.decide(func(now time.Time) {
 		j := t.c.job
-		j.TimeLimit = t.c.ends.Sub(now)
+		j.TimeLimit = t.c.deadline.Sub(now)
 		if j.TimeLimit <= 0 {
 			return
 		}
@@ -223,86 +223,86 @@
 	})
 }
 
-// answer reaches the caller.
+// answer delivers the entry's answer to the caller.
 func (t *attempt) answer(a dispatcher.Answer) {
-	if t.over || t.c.over {
+	if t.finished || t.c.finished {
 		return
 	}
-	t.over = true
+	t.finished = true
 	c := &t.c.w.checker
 	if l := t.c.w.load; l != nil {
-		t.c.over = true
-		l.over(t.c, a.Outcome, true)
+		t.c.finished = true
+		l.jobEnded(t.c, a.Outcome, true)
 		return
 	}
 	t.c.w.trace("%s answers %s: %v %s", t.e.name, t.c.id, a.Outcome, a.Reason)
 	switch a.Outcome {
 	case dispatcher.Completed:
 		for i := range t.c.job.Steps[0].Count {
-			if task := fmt.Sprintf("%s.0.0.%d", t.c.id, i); !c.done[task] {
-				c.broken("%s is completed and %s has not ended well", t.c.id, task)
+			if task := fmt.Sprintf("%s.0.0.%d", t.c.id, i); !c.succeeded[task] {
+				c.violated("%s is answered as completed and %s has not succeeded", t.c.id, task)
 			}
 		}
 		t.c.finish(&c.r.Completed)
 	case dispatcher.NotRun:
-		t.c.refused++
-		if t.c.refused == t.c.tries {
+		t.c.refusals++
+		if t.c.refusals == t.c.attempts {
 			c.refused[t.c.id] = true
 			if c.started[t.c.id] {
-				c.broken("%s is said not to have run and has", t.c.id)
+				c.violated("%s is answered as not run although a task started", t.c.id)
 			}
 		}
 		t.c.finish(&c.r.NotRun)
 	case dispatcher.Unknown:
-		t.c.w.at(resend+t.c.w.upTo(200*time.Millisecond), t.c.send)
+		t.c.w.schedule(resendDelay+t.c.w.jitter(200*time.Millisecond), t.c.send)
 	default:
 		t.c.finish(&c.r.Other)
 	}
 }
 
-// broken is the end of the connection without an answer.
-func (t *attempt) broken() {
-	if t.over || t.c.over {
+// connectionLost ends the attempt without an answer; the caller resends the job.
+func (t *attempt) connectionLost() {
+	if t.finished || t.c.finished {
 		return
 	}
-	t.over = true
-	t.c.w.at(resend+t.c.w.upTo(200*time.Millisecond), t.c.send)
+	t.finished = true
+	t.c.w.schedule(resendDelay+t.c.w.jitter(200*time.Millisecond), t.c.send)
 }
 
-// hangUp breaks the connection at the caller's side; the entry notices.
-func (t *attempt) hangUp() {
-	if t.over || t.c.over {
+// disconnect breaks the connection at the caller's side; the entry notices it.
+func (t *attempt) disconnect() {
+	if t.finished || t.c.finished {
 		return
 	}
-	t.broken()
-	t.gone()
+	t.connectionLost()
+	t.notifyEntry()
 }
 
-// leave is the end of the caller's patience.
-func (t *attempt) leave() {
-	if t.over || t.c.over {
+// expire ends the attempt at the caller's deadline.
+func (t *attempt) expire() {
+	if t.finished || t.c.finished {
 		return
 	}
-	t.over = true
+	t.finished = true
 	if l := t.c.w.load; l != nil {
-		l.over(t.c, dispatcher.Unknown, false)
+		l.jobEnded(t.c, dispatcher.Unknown, false)
 	}
 	t.c.finish(&t.c.w.checker.r.Other)
-	t.gone()
+	t.notifyEntry()
 }
 
-func (t *attempt) gone() {
+func (t *attempt) notifyEntry() {
 	t.e.after(time.Millisecond, func() {
-		if t.e.life != t.life {
+		if t.e.incarnation != t.incarnation {
 			return
 		}
-		t.left = true
+		t.disconnected = true
 		if t.number == 0 {
 			return
 		}
-		left := slices.DeleteFunc(t.e.waiting[t.number], func(x *attempt) bool { return x == t })
-		t.e.waiting[t.number] = left
-		if len(left) == 0 {
+		remaining := slices.DeleteFunc(t.e.waiting[t.number], func(x *attempt) bool { return x == t })
+		t.e.waiting[t.number] = remaining
+		if len(remaining) == 0 {
 			delete(t.e.waiting, t.number)
 			t.e.decide(func(now time.Time) { t.e.core.CallerGone(now, t.number) })
 		}
@@ -310,7 +310,7 @@
 }
 
 func (x *caller) finish(counter *int) {
-	x.over = true
+	x.finished = true
 	*counter++
 }
 
--- a/dispatch/leasedcheck/evacuate.go
+++ b/dispatch/leasedcheck/evacuate.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// evacuatedWithin is how long after an operator has evacuated a failure domain
-	// something may still start there. The users allow five seconds to machines that
-	// have been in touch for four; here faults of up to three seconds lie in that time.
-	evacuatedWithin = 5 * time.Second
-	// domainCount is the number of failure domains: with three agents and more, one
-	// that is evacuated leaves another.
+	// maxEvacuationDelay is the time after an evacuation of a failure domain within which
+	// a task may still start there. Users grant five seconds to machines that have been
+	// connected for four; here faults of up to three seconds fall into that time.
+	maxEvacuationDelay = 5 * time.Second
+	// domainCount is the number of failure domains. With three or more agents, one
+	// evacuated domain leaves another one in use.
 	domainCount = 2
-	// shareEvery is the time between two exchanges of an entry with another one.
-	shareEvery = 500 * time.Millisecond
-	// readWithin is in what time the store tells an entry of a change, if it does.
-	readWithin = 300 * time.Millisecond
+	// exchangeInterval is the time between two exchanges that an entry starts.
+	exchangeInterval = 500 * time.Millisecond
+	// maxStoreDelay bounds the time in which the store notifies an entry of a change, if
+	// it does so at all.
+	maxStoreDelay = 300 * time.Millisecond
 )
 
-// operators evacuate and restore failure domains in the platform's store.
+// operators simulates operators who evacuate and restore failure domains in the
+// platform's store.
 type operators struct {
 	w         *World
 	revision  uint64
 	evacuated map[string]time.Time // since when
 }
 
-func domainOf(agent int) string { return fmt.Sprintf("domain-%d", agent%domainCount) }
+func domainName(agent int) string { return fmt.Sprintf("domain-%d", agent%domainCount) }
 
-// evacuates reports whether operators do so in this run.
-func (w *World) evacuates() bool { return w.o.Evacuations > 0 }
+// hasEvacuations reports whether operators evacuate domains in this run.
+func (w *World) hasEvacuations() bool { return w.o.Evacuations > 0 }
 
 func (o *operators) list() *pb.Evacuations {
 	return &pb.Evacuations{Revision: o.revision, Domains: slices.Sorted(maps.Keys(o.evacuated))}
 }
 
-// act evacuates a domain or restores it. Some entries hear of it from the store; the
-// others, which it turns away, from entries that have.
-func (o *operators) act() {
-	domain := domainOf(o.w.rand.IntN(domainCount))
+// toggleDomain evacuates or restores a random domain. The store notifies some entries;
+// the others can't reach it and are updated by entries that can.
+func (o *operators) toggleDomain() {
+	domain := domainName(o.w.rand.IntN(domainCount))
 	o.revision++
 	if _, ok := o.evacuated[domain]; ok {
 		o.w.trace("operators restore %s", domain)
@@ -51,83 +53,85 @@
 		o.w.trace("operators evacuate %s", domain)
 		o.evacuated[domain] = o.w.now
 	}
-	o.tellSome(0.7)
+	o.notifySome(0.7)
 }
 
-// tellSome has the store tell entries with a probability, and one of them surely.
-func (o *operators) tellSome(share float64) {
-	sure := o.w.rand.IntN(len(o.w.entries))
+// notifySome makes the store notify each entry with the given probability, and one of
+// them always.
+func (o *operators) notifySome(probability float64) {
+	always := o.w.rand.IntN(len(o.w.entries))
 	for i, e := range o.w.entries {
-		if i == sure || o.w.chance(share) {
-			o.tell(e)
+		if i == always || o.w.chance(probability) {
+			o.notify(e)
 		}
 	}
 }
 
-// forget drops the store's history: entries read the list anew, at a later revision.
-func (o *operators) forget() {
+// dropHistory drops the store's history: entries read the list again at a later revision.
+func (o *operators) dropHistory() {
 	o.revision++
-	o.tellSome(0.5)
+	o.notifySome(0.5)
 }
 
-// tell has the store tell an entry what is so now.
-func (o *operators) tell(e *entryNode) {
+// notify makes the store send an entry the current list.
+func (o *operators) notify(e *entryNode) {
 	list := o.list()
-	e.after(o.w.upTo(readWithin), func() { e.evacuations(list) })
+	e.after(o.w.jitter(maxStoreDelay), func() { e.setEvacuations(list) })
 }
 
-func (e *entryNode) evacuations(m *pb.Evacuations) {
+func (e *entryNode) setEvacuations(m *pb.Evacuations) {
 	e.decide(func(now time.Time) { e.core.SetEvacuations(now, m) })
 }
 
-// share exchanges with another entry now and then, while this process lives.
-func (e *entryNode) share() {
+// exchange periodically exchanges evacuations with a random entry while this process
+// is up.
+func (e *entryNode) exchange() {
 	other := e.w.entries[e.w.rand.IntN(len(e.w.entries))]
-	life, mine := e.life, e.core.Evacuations()
+	incarnation, mine := e.incarnation, e.core.Evacuations()
 	if other != e && other.up {
-		e.w.at(e.w.latency(), func() {
-			other.run(other.life, func() {
-				other.evacuations(mine)
+		e.w.schedule(e.w.latency(), func() {
+			other.run(other.incarnation, func() {
+				other.setEvacuations(mine)
 				theirs := other.core.Evacuations()
-				e.w.at(e.w.latency(), func() { e.run(life, func() { e.evacuations(theirs) }) })
+				e.w.schedule(e.w.latency(), func() { e.run(incarnation, func() { e.setEvacuations(theirs) }) })
 			})
 		})
 	}
-	e.after(shareEvery, e.share)
+	e.after(exchangeInterval, e.exchange)
 }
 
-// configured reports whether an entry has heard from operators, by whatever way. Until
-// then it takes no jobs.
-func (e *entryNode) configured() bool { return !e.w.evacuates() || e.core.Evacuations() != nil }
+// configured reports whether the entry has received a list of evacuations from the store
+// or another entry. Until then it admits no jobs.
+func (e *entryNode) configured() bool { return !e.w.hasEvacuations() || e.core.Evacuations() != nil }
 
-// ordered checks that an agent starts nothing in an evacuated domain: from the moment at
-// which it knows, and from when it must know.
-func (c *checker) ordered(a *agentNode, task string) {
+// checkStart checks that an agent starts nothing in an evacuated domain once it knows of
+// the evacuation, or must know of it.
+func (c *checker) checkStart(a *agentNode, task string) {
 	if a.core.Evacuated() {
-		c.broken("%s starts %s and knows that its failure domain is evacuated", a.name, task)
+		c.violated("%s starts %s although it knows that its failure domain is evacuated", a.name, task)
 	}
-	since, evacuated := c.w.operators.evacuated[domainOf(a.index)]
-	if !c.w.evacuates() || !evacuated || c.w.now.Sub(since) <= evacuatedWithin {
+	since, evacuated := c.w.operators.evacuated[domainName(a.index)]
+	if !c.w.hasEvacuations() || !evacuated || c.w.now.Sub(since) <= maxEvacuationDelay {
 		return
 	}
-	c.broken("%s starts %s, %v after its failure domain was evacuated", a.name, task, c.w.now.Sub(since))
+	c.violated("%s starts %s, %v after its failure domain was evacuated", a.name, task, c.w.now.Sub(since))
 }
 
-// restored checks that what operators said last is known everywhere.
-func (c *checker) restored() {
-	if !c.w.evacuates() {
+// checkEvacuations checks that all processes have the operators' last update.
+func (c *checker) checkEvacuations() {
+	if !c.w.hasEvacuations() {
 		return
 	}
 	want := c.w.operators.list()
 	for _, e := range c.w.entries {
 		if got := e.core.Evacuations(); e.up && !slices.Equal(got.GetDomains(), want.Domains) {
-			c.broken("%s takes %v for evacuated at the end, not %v", e.name, got.GetDomains(), want.Domains)
+			c.violated("%s has evacuated domains %v at the end, want %v", e.name, got.GetDomains(), want.Domains)
 		}
 	}
 	for _, a := range c.w.agents {
-		_, want := c.w.operators.evacuated[domainOf(a.index)]
+		_, want := c.w.operators.evacuated[domainName(a.index)]
 		if a.up && a.core.Evacuated() != want {
-			c.broken("%s takes its failure domain for evacuated at the end: %v, want %v", a.name, a.core.Evacuated(), want)
+			c.violated("%s has its failure domain evacuated at the end: %v, want %v", a.name, a.core.Evacuated(), want)
 		}
 	}
 }
--- a/dispatch/leasedcheck/faults.go
+++ b/dispatch/leasedcheck/faults.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// fault lets one thing go wrong.
-func (w *World) fault() {
+// injectFault injects one random fault.
+func (w *World) injectFault() {
 	a := w.agents[w.rand.IntN(len(w.agents))]
 	e := w.entries[w.rand.IntN(len(w.entries))]
 	kinds := 10
 	if w.o.Links > 0 {
-		kinds = 13 // three of thirteen are choices
+		kinds = 13 // three of the thirteen change an agent's subset of entries
 	}
-	if w.o.Reborn && w.chance(0.4) {
-		w.workerFault(a)
+	if w.o.WorkerRestarts && w.chance(0.4) {
+		w.injectWorkerFault(a)
 		return
 	}
 	switch w.rand.IntN(kinds) {
@@ -32,22 +32,22 @@
 	case 4:
 		w.freeze(&a.process)
 	case 5:
-		w.cut(a, e)
+		w.partition(a, e)
 	case 6:
 		for _, x := range w.agents {
-			w.cut(x, e)
+			w.partition(x, e)
 		}
 	case 7:
 		w.trace("%s loses calls", a.name)
-		a.worker.lossy = w.now.Add(500*time.Millisecond + w.upTo(3*time.Second))
+		a.worker.lossyUntil = w.now.Add(500*time.Millisecond + w.jitter(3*time.Second))
 	case 10, 11, 12:
-		a.choose()
+		a.replaceEntry()
 	case 9:
 		if e.up {
-			e.leave()
+			e.shutDown()
 		}
 	case 8:
-		if c := a.conns[e.index]; c != nil && c.eOpen {
+		if c := a.conns[e.index]; c != nil && c.entryOpen {
 			w.trace("link of %s and %s is reset", a.name, e.name)
 			if w.chance(0.5) {
 				c.closeByEntry()
@@ -58,24 +58,24 @@
 	}
 }
 
-// workerFault has a worker start again under its identifier, at once or behind a cut, or
-// change its capacity.
-func (w *World) workerFault(a *agentNode) {
+// injectWorkerFault restarts a worker under the same identifier, immediately or while its
+// calls are lost, or changes its capacity.
+func (w *World) injectWorkerFault(a *agentNode) {
 	s := a.worker
 	switch {
 	case !s.up:
 	case w.chance(0.5):
-		s.resize(int64(w.rand.IntN(2 * capacity)))
+		s.resize(int64(w.rand.IntN(2 * defaultCapacity)))
 	case w.chance(0.5):
 		w.trace("%s loses calls", a.name)
-		s.lossy = w.now.Add(w.upTo(time.Second))
-		w.at(w.upTo(time.Second), func() {
+		s.lossyUntil = w.now.Add(w.jitter(time.Second))
+		w.schedule(w.jitter(time.Second), func() {
 			if s.up {
-				s.crashFor(w.upTo(500 * time.Millisecond))
+				s.crashFor(w.jitter(500 * time.Millisecond))
 			}
 		})
 	default:
-		s.crashFor(w.upTo(200 * time.Millisecond))
+		s.crashFor(w.jitter(200 * time.Millisecond))
 	}
 }
 
@@ -85,14 +85,14 @@
 	}
 	w.trace("%s freezes", p.name)
 	from := w.now
-	if p.thaw.After(from) {
-		from = p.thaw
+	if p.frozenUntil.After(from) {
+		from = p.frozenUntil
 	}
-	p.thaw = w.now.Add(100*time.Millisecond + w.upTo(3*time.Second))
-	p.frozen += max(0, p.thaw.Sub(from))
+	p.frozenUntil = w.now.Add(100*time.Millisecond + w.jitter(3*time.Second))
+	p.frozenTotal += max(0, p.frozenUntil.Sub(from))
 }
 
-func (w *World) cut(a *agentNode, e *entryNode) {
-	w.trace("%s and %s are cut off from each other", a.name, e.name)
-	a.cut[e.index] = w.now.Add(100*time.Millisecond + w.upTo(3*time.Second))
+func (w *World) partition(a *agentNode, e *entryNode) {
+	w.trace("%s and %s are partitioned", a.name, e.name)
+	a.partitions[e.index] = w.now.Add(100*time.Millisecond + w.jitter(3*time.Second))
 }
--- a/dispatch/leasedcheck/leasedcheck_test.go
+++ b/dispatch/leasedcheck/leasedcheck_test.go
@@ -7,7 +7,7 @@
 )
 
 var (
-	seeds = flag.Int("leased.seeds", 100, "schedules to play")
+	seeds = flag.Int("leased.seeds", 100, "number of schedules to run")
 	first = flag.Uint64("leased.first", 1, "first seed")
 	trace = flag.Bool("leased.trace", false, "print the events of each schedule")
 )
@@ -16,47 +16,49 @@
 	return Options{Seed: seed, Entries: 3, Agents: 4, Jobs: 120, Faults: int(seed % 12)}
 }
 
-// Anything may fail at any time, together or twice. Callers must not see a task run
-// twice at a time, an answer that is not whole, or "not run" of what has run.
+// Faults of all kinds occur at any time, also together or repeatedly. A task must not run
+// twice at the same time, and callers must not receive an incomplete answer, or NotRun
+// for a job that has run.
 func TestPromisesHoldUnderFaults(t *testing.T) { promisesHold(t, options) }
 
-// In a fleet an agent is linked to some of the entries, and leaves one for another while
-// jobs run and things fail. What is on its way over a link that is left must neither run
-// unseen nor be said not to run.
-func TestPromisesHoldWithSomeLinks(t *testing.T) {
+// In a fleet an agent is linked to a subset of the entries, and replaces one of them while
+// jobs run and faults occur. An order in flight on a link that is closed must neither run
+// without its entry's knowledge nor be reported as not run.
+func TestPromisesHoldWithLinkSubsets(t *testing.T) {
 	promisesHold(t, func(seed uint64) Options {
 		return Options{Seed: seed, Entries: 5, Agents: 6, Links: 2, Jobs: 120, Faults: int(seed % 16)}
 	})
 }
 
-// Operators evacuate failure domains and restore them while anything fails, some entries
-// are turned away by the store, agents and entries begin anew, and the store forgets its
-// history. Nothing may start in a domain once its evacuation has had the time to spread,
-// and at the end all must know what operators said last: a domain that stays evacuated by
-// mistake is a part of the workers lost.
+// Operators evacuate and restore failure domains while faults occur, some entries can't
+// reach the store, agents and entries restart, and the store drops its history. Nothing
+// may start in a domain once its evacuation has had the time to spread. At the end all
+// processes must have the last update: a domain that stays evacuated by mistake takes its
+// workers out of use.
 func TestPromisesHoldWithEvacuations(t *testing.T) {
 	promisesHold(t, func(seed uint64) Options {
 		return Options{Seed: seed, Entries: 4, Agents: 6, Links: int(seed % 3), Jobs: 120, Faults: int(seed % 12), Evacuations: 1 + int(seed%16)}
 	})
 }
 
-// Workers crash, also by tasks that crash whoever starts them, and begin anew under the
-// identifier that they had, with clocks, sequences and numbers anew, while calls to them are
-// lost or late; and their capacity shrinks and grows. A run of an earlier life must neither
-// go unseen on a later one nor be taken for ended while it may still begin there.
-func TestPromisesHoldWithWorkersReborn(t *testing.T) {
+// Workers crash, also because of tasks that crash each worker that starts them, and
+// restart under the same identifier with new clocks, sequences and run numbers, while
+// calls to them are lost or late and their capacity changes. A run ordered from an earlier
+// incarnation must neither go unnoticed on a later one nor count as ended while it may
+// still start there.
+func TestPromisesHoldWithWorkerRestarts(t *testing.T) {
 	promisesHold(t, func(seed uint64) Options {
-		return Options{Seed: seed, Entries: 4, Agents: 5, Links: int(seed % 3), Jobs: 120, Faults: 2 + int(seed%14), Reborn: true}
+		return Options{Seed: seed, Entries: 4, Agents: 5, Links: int(seed % 3), Jobs: 120, Faults: 2 + int(seed%14), WorkerRestarts: true}
 	})
 }
 
-// A start whose answer was late was sent again and found that the run had been there; its
-// job was said not to have run. A task that crashed one worker after the other was taken for
-// a bystander of a cause that they shared.
-func TestSchedulesWithWorkersRebornThatBrokeAPromise(t *testing.T) {
+// Two faults occurred in these schedules. A start whose response was late was resent, the
+// worker answered that the run is known, and the job was reported as not run. A task that
+// crashed one worker after another was mistaken for a victim of a common cause.
+func TestWorkerRestartRegressions(t *testing.T) {
 	for _, seed := range []uint64{92, 165, 507, 1104, 5421} {
-		if r := Run(Options{Seed: seed, Entries: 4, Agents: 5, Links: int(seed % 3), Jobs: 120, Faults: 2 + int(seed%14), Reborn: true}); len(r.Broken) > 0 {
-			t.Errorf("seed %d: %v", seed, r.Broken)
+		if r := Run(Options{Seed: seed, Entries: 4, Agents: 5, Links: int(seed % 3), Jobs: 120, Faults: 2 + int(seed%14), WorkerRestarts: true}); len(r.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, r.Violations)
 		}
 	}
 }
@@ -70,7 +72,7 @@
 			o.Trace = func(s string) { t.Log(s) }
 		}
 		r := Run(o)
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 		total.Completed += r.Completed
@@ -84,17 +86,17 @@
 	t.Logf("%d jobs completed, %d not run, %d otherwise; %d starts", total.Completed, total.NotRun, total.Other, total.Starts)
 }
 
-// Without faults every job that is accepted is completed, but for those whose tasks
-// fail by themselves or whose callers leave. Single seeds differ by how their jobs
-// happen to come, so many are counted together.
-func TestCalmSchedulesServe(t *testing.T) {
+// Without faults every accepted job is completed, except those whose tasks fail by
+// themselves or whose callers disconnect. Results of single seeds vary with the arrivals
+// drawn, so many are summed up.
+func TestSchedulesWithoutFaultsComplete(t *testing.T) {
 	t.Parallel()
 	const seeds, jobs = 20, 40
 	completed := 0
 	for seed := range uint64(seeds) {
 		r := Run(Options{Seed: seed, Entries: 3, Agents: 4, Jobs: jobs})
-		if len(r.Broken) > 0 {
-			t.Errorf("seed %d: %v", seed, r.Broken)
+		if len(r.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, r.Violations)
 		}
 		completed += r.Completed
 	}
@@ -103,21 +105,21 @@
 	}
 }
 
-// A seed that broke a promise is of use only if it does so again. An entry that leaves
-// went through its jobs in the order of a map, and what they came to differed from run
-// to run.
-func TestSchedulesRepeat(t *testing.T) {
+// A failing seed is useful only if the failure is reproducible. Guards against decisions
+// that depend on map order: a draining entry iterated over its jobs in map order, and
+// their outcomes differed between runs.
+func TestSchedulesAreDeterministic(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		play := func() (events []string) {
+		runOnce := func() (events []string) {
 			o := options(seed)
 			o.Faults = 12
 			o.Trace = func(s string) { events = append(events, s) }
 			Run(o)
 			return events
 		}
-		if one, again := play(), play(); !slices.Equal(one, again) {
-			t.Errorf("seed %d plays differently the second time", seed)
+		if one, other := runOnce(), runOnce(); !slices.Equal(one, other) {
+			t.Errorf("seed %d gives different events the second time", seed)
 		}
 	}
 }
--- a/dispatch/leasedcheck/links.go
+++ b/dispatch/leasedcheck/links.go
@@ -7,28 +7,29 @@
 )
 
 // conn is one connection between an agent and an entry. Each direction delivers in
-// order. A cut holds back what is sent until it heals, also the end of the
+// order. A partition delays messages until it heals, including the close of the
 // connection.
 type conn struct {
-	w     *World
-	a     *agentNode
-	e     *entryNode
-	aLife int
-	eLife int
-	epoch uint64
-	// open ends as each side sees them.
-	aOpen, eOpen bool
-	toA, toE     time.Time // when the last message sent arrives
+	w                *World
+	a                *agentNode
+	e                *entryNode
+	agentIncarnation int
+	entryIncarnation int
+	epoch            uint64
+	// Whether the connection is open, as each side sees it.
+	agentOpen, entryOpen       bool
+	agentArrival, entryArrival time.Time // arrival of the last message sent in each direction
 }
 
-// cuts holds until when each pair is cut.
-func (w *World) cutUntil(a *agentNode, e *entryNode) time.Time { return a.cut[e.index] }
+// partitionEnd returns the end of the last partition between an agent and an entry.
+func (w *World) partitionEnd(a *agentNode, e *entryNode) time.Time { return a.partitions[e.index] }
 
-// arrival is when a message sent now arrives.
-func (c *conn) arrival(last *time.Time) time.Duration {
+// arrivalDelay returns the time that a message sent now takes, and stores the time of
+// its arrival in last.
+func (c *conn) arrivalDelay(last *time.Time) time.Duration {
 	at := c.w.now.Add(c.w.latency())
-	if cut := c.w.cutUntil(c.a, c.e); cut.After(c.w.now) {
-		at = cut.Add(c.w.latency())
+	if end := c.w.partitionEnd(c.a, c.e); end.After(c.w.now) {
+		at = end.Add(c.w.latency())
 	}
 	if at.Before(*last) {
 		at = *last
@@ -37,56 +38,57 @@
 	return at.Sub(c.w.now)
 }
 
-func (c *conn) toEntry(f func()) {
-	c.w.at(c.arrival(&c.toE), func() {
-		c.e.run(c.eLife, func() {
-			if c.eOpen {
+func (c *conn) sendToEntry(f func()) {
+	c.w.schedule(c.arrivalDelay(&c.entryArrival), func() {
+		c.e.run(c.entryIncarnation, func() {
+			if c.entryOpen {
 				f()
 			}
 		})
 	})
 }
 
-func (c *conn) toAgent(f func()) {
-	c.w.at(c.arrival(&c.toA), func() {
-		c.a.run(c.aLife, func() {
-			if c.aOpen {
+func (c *conn) sendToAgent(f func()) {
+	c.w.schedule(c.arrivalDelay(&c.agentArrival), func() {
+		c.a.run(c.agentIncarnation, func() {
+			if c.agentOpen {
 				f()
 			}
 		})
 	})
 }
 
-// closeByAgent ends the agent's side at once, and the entry's when it hears of it.
+// closeByAgent closes the agent's side at once, and the entry's when the close arrives
+// there.
 func (c *conn) closeByAgent() {
-	if !c.aOpen {
+	if !c.agentOpen {
 		return
 	}
-	c.aOpen = false
-	c.toEntry(c.entryClosed)
-	c.a.closed(c)
+	c.agentOpen = false
+	c.sendToEntry(c.entryClosed)
+	c.a.connClosed(c)
 }
 
 func (c *conn) closeByEntry() {
-	if !c.eOpen {
+	if !c.entryOpen {
 		return
 	}
 	c.entryClosed()
-	c.toAgent(func() {
-		c.aOpen = false
-		c.a.closed(c)
+	c.sendToAgent(func() {
+		c.agentOpen = false
+		c.a.connClosed(c)
 	})
 }
 
 func (c *conn) entryClosed() {
-	if !c.eOpen {
+	if !c.entryOpen {
 		return
 	}
-	c.eOpen = false
-	if c.e.links[c.a.incarnationOf(c.aLife)] == c {
-		delete(c.e.links, c.a.incarnationOf(c.aLife))
+	c.entryOpen = false
+	if c.e.links[c.a.incarnationName(c.agentIncarnation)] == c {
+		delete(c.e.links, c.a.incarnationName(c.agentIncarnation))
 	}
-	c.e.decide(func(now time.Time) { c.e.core.LinkDown(now, c.a.incarnationOf(c.aLife), c.epoch) })
+	c.e.decide(func(now time.Time) { c.e.core.LinkDown(now, c.a.incarnationName(c.agentIncarnation), c.epoch) })
 }
 
 // dial opens a link from an agent to an entry.
@@ -95,75 +97,76 @@
 		return
 	}
 	a.epoch++
-	c := &conn{w: a.w, a: a, e: e, aLife: a.life, epoch: a.epoch, aOpen: true}
+	c := &conn{w: a.w, a: a, e: e, agentIncarnation: a.incarnation, epoch: a.epoch, agentOpen: true}
 	a.conns[e.index] = c
-	met := a.met[e.index]
-	a.decide(func(now time.Time) { a.core.Closing(now, met) })
+	previous := a.entryIncarnations[e.index]
+	a.decide(func(now time.Time) { a.core.Closing(now, previous) })
 	greeting := a.core.Greeting(a.epoch)
-	asked := a.w.now
+	dialedAt := a.w.now
 	a.after(400*time.Millisecond, func() {
-		if c.aOpen && !c.eOpen && a.conns[e.index] == c && a.linked[e.index] != c {
-			c.aOpen = false
-			a.closed(c)
+		if c.agentOpen && !c.entryOpen && a.conns[e.index] == c && a.linked[e.index] != c {
+			c.agentOpen = false
+			a.connClosed(c)
 		}
 	})
-	c.w.at(c.arrival(&c.toE), func() {
+	c.w.schedule(c.arrivalDelay(&c.entryArrival), func() {
 		if !e.up {
-			// Nothing listens: the entry's process has ended.
-			a.run(c.aLife, func() {
-				if c.aOpen {
-					c.aOpen = false
-					a.gone(e, met)
-					a.closed(c)
+			// Nothing listens at the address: the entry's process has ended.
+			a.run(c.agentIncarnation, func() {
+				if c.agentOpen {
+					c.agentOpen = false
+					a.entryEnded(e, previous)
+					a.connClosed(c)
 				}
 			})
 			return
 		}
-		c.eLife = e.life
-		e.run(e.life, func() { e.accept(c, greeting, asked) })
+		c.entryIncarnation = e.incarnation
+		e.run(e.incarnation, func() { e.accept(c, greeting, dialedAt) })
 	})
 }
 
-func (e *entryNode) accept(c *conn, g *pb.AgentGreeting, asked time.Time) {
+func (e *entryNode) accept(c *conn, g *pb.AgentGreeting, dialedAt time.Time) {
 	if old := e.links[g.Incarnation]; old != nil {
 		if old.epoch >= g.Epoch {
 			return
 		}
-		old.eOpen = false
+		old.entryOpen = false
 	}
-	c.eOpen = true
+	c.entryOpen = true
 	e.links[g.Incarnation] = c
 	var first *pb.OrderFrame
 	e.decide(func(now time.Time) {
 		first = e.core.LinkUp(now, g)
-		// The greeting goes out before the frames that this input makes.
-		c.toAgent(func() { c.a.greeted(c, first, asked) })
+		// The handshake response precedes the frames that this input causes.
+		c.sendToAgent(func() { c.a.linkEstablished(c, first, dialedAt) })
 	})
 }
 
-func (a *agentNode) greeted(c *conn, f *pb.OrderFrame, asked time.Time) {
+func (a *agentNode) linkEstablished(c *conn, f *pb.OrderFrame, dialedAt time.Time) {
 	i := c.e.index
-	if met := a.met[i]; met != "" && met != f.Hello.Incarnation {
-		a.gone(c.e, met)
+	if previous := a.entryIncarnations[i]; previous != "" && previous != f.Hello.Incarnation {
+		a.entryEnded(c.e, previous)
 	}
-	a.met[i] = f.Hello.Incarnation
+	a.entryIncarnations[i] = f.Hello.Incarnation
 	a.linked[i] = c
 	up := false
-	a.decide(func(now time.Time) { up = a.core.LinkUp(now, asked, f.Hello, c.epoch, f.SentNs) })
+	a.decide(func(now time.Time) { up = a.core.LinkUp(now, dialedAt, f.Hello, c.epoch, f.SentNs) })
 	if !up {
 		c.closeByAgent()
 	}
 }
 
-func (a *agentNode) gone(e *entryNode, incarnation string) {
-	a.met[e.index] = ""
+func (a *agentNode) entryEnded(e *entryNode, incarnation string) {
+	a.entryIncarnations[e.index] = ""
 	if incarnation != "" {
 		a.decide(func(now time.Time) { a.core.EntryGone(now, incarnation, "gone") })
 	}
 }
 
-// closed takes in that the agent's side of a connection has ended, and dials anew.
-func (a *agentNode) closed(c *conn) {
+// connClosed handles the close of the agent's side of a connection, and redials after a
+// pause.
+func (a *agentNode) connClosed(c *conn) {
 	i := c.e.index
 	if a.conns[i] != c {
 		return
@@ -171,7 +174,7 @@
 	a.conns[i] = nil
 	if a.linked[i] == c {
 		a.linked[i] = nil
-		a.decide(func(now time.Time) { a.core.LinkDown(now, a.met[i], c.epoch) })
+		a.decide(func(now time.Time) { a.core.LinkDown(now, a.entryIncarnations[i], c.epoch) })
 	}
 	a.after(60*time.Millisecond, func() {
 		if a.wanted[i] {
--- a/dispatch/leasedcheck/load.go
+++ b/dispatch/leasedcheck/load.go
@@ -16,164 +16,165 @@
 type Kind struct {
 	Name     string
 	Priority uint32
-	// Share of the jobs.
+	// Share of all jobs.
 	Share float64
-	// Tasks of a job, and how long each runs: means of what is drawn.
-	Tasks  int
-	Length time.Duration
-	// Value of a job that ends within its objective.
+	// Tasks is the mean number of tasks of a job, and RunTime the mean run time of a task.
+	Tasks   int
+	RunTime time.Duration
+	// Value of a job that ends within its latency objective.
 	Value float64
-	// Burst raises the kind's own rate by this factor in the middle half, beside that
-	// of all; zero: it doesn't.
+	// Burst multiplies the rate of this kind in the middle half, in addition to
+	// Load.Burst. Zero means no burst.
 	Burst float64
 }
 
-// Load is jobs at a rate that a fleet can't wholly serve, or nearly so.
+// Load describes jobs that arrive at a rate near or above the capacity of a fleet.
 type Load struct {
 	Kinds []Kind
-	// Used is the work that arrives over what all workers can do.
-	Used float64
-	// Lasts is how long jobs arrive.
-	Lasts time.Duration
-	// Burst raises the rate by this factor in the middle half; zero: it doesn't.
+	// Utilization is the ratio of the work that arrives to the capacity of all workers.
+	Utilization float64
+	// Duration is how long jobs arrive.
+	Duration time.Duration
+	// Burst multiplies the rate in the middle half. Zero means no burst.
 	Burst float64
-	// Lost is the share of the workers that go dark for the middle half.
-	Lost float64
-	// Skew is how unevenly callers lead to entries: the share that the first one gets,
-	// beside what is divided evenly.
+	// DownWorkers is the share of the workers that are down during the middle half.
+	DownWorkers float64
+	// Skew is the share of the jobs that all go to the first entry; the rest is
+	// distributed evenly.
 	Skew float64
 }
 
-// Served is how the jobs of a kind went.
-type Served struct{ Sent, InTime, Late, NotRun, Other int }
+// JobCounts counts the jobs of a kind by outcome.
+type JobCounts struct{ Sent, InTime, Late, NotRun, Other int }
 
-// LoadResult sums up a load.
+// LoadResult summarizes a run of a load.
 type LoadResult struct {
-	ByKind []Served
-	// Value is what was earned by the jobs that came in the middle half, of what they
-	// are worth; late ones earn a fifth.
+	ByKind []JobCounts
+	// Value is the share of the value of the jobs submitted in the middle half that was
+	// earned. Late jobs earn a fifth of their value.
 	Value float64
-	// Orders and Refused are what entries sent, and agents refused.
+	// Orders were sent by entries; Refused were refused by agents.
 	Orders, Refused int
 }
 
 const (
-	// loadCPU is what a task takes on average: a little under a quarter of a worker.
-	loadCPU = 950
-	// loadTarget and loadStretch make the objective.
+	// meanTaskCPU is in millicores, a little under a quarter of a worker.
+	meanTaskCPU = 950
+	// loadTarget and loadStretch determine the latency objective.
 	loadTarget  = 60 * time.Millisecond
 	loadStretch = 1.6
 	lateValue   = 0.2
 	lateFactor  = 3
-	// warmUp is how long links are opened before jobs come.
+	// warmUp is the time for agents to open their links before jobs arrive.
 	warmUp = 500 * time.Millisecond
 )
 
-// RunLoad plays a load without faults but those it names.
+// RunLoad simulates a load; Load.DownWorkers is the only fault.
 func RunLoad(o Options, l Load) LoadResult {
 	w := newWorld(o)
-	p := &loadPlay{w: w, l: l, rand: rand.New(rand.NewPCG(o.Seed, 2)), result: LoadResult{ByKind: make([]Served, len(l.Kinds))}}
+	p := &loadRun{w: w, l: l, rand: rand.New(rand.NewPCG(o.Seed, 2)), result: LoadResult{ByKind: make([]JobCounts, len(l.Kinds))}}
 	w.load = p
-	w.at(warmUp, func() { w.at(p.gap(), p.next) })
-	if l.Lost > 0 {
-		w.at(warmUp+l.Lasts/4, p.lose)
+	w.schedule(warmUp, func() { w.schedule(p.interarrival(), p.submitNext) })
+	if l.DownWorkers > 0 {
+		w.schedule(warmUp+l.Duration/4, p.crashWorkers)
 	}
-	p.begun = w.now.Add(warmUp)
-	end := p.begun.Add(l.Lasts + settle)
+	p.startedAt = w.now.Add(warmUp)
+	end := p.startedAt.Add(l.Duration + settleTime)
 	for len(w.events) > 0 && w.events[0].at.Before(end) {
-		e := heap.Pop(&w.events).(*timed)
+		e := heap.Pop(&w.events).(*event)
 		w.now = e.at
 		e.f()
 	}
-	p.result.Value = p.earned / max(p.owed, 1e-9)
+	p.result.Value = p.earned / max(p.attainable, 1e-9)
 	return p.result
 }
 
-// loadPlay draws the jobs of a load and counts what comes of them.
-type loadPlay struct {
+// loadRun draws the jobs of a load and counts their outcomes.
+type loadRun struct {
 	w *World
 	l Load
-	// rand draws the jobs, whatever the decisions draw: two plays of a seed that differ
-	// in these have the same jobs.
-	rand   *rand.Rand
-	begun  time.Time
-	sent   int
-	earned float64
-	owed   float64
-	result LoadResult
+	// rand draws the jobs. It is separate from World.rand so that the jobs of a seed don't
+	// depend on the decisions under test.
+	rand       *rand.Rand
+	startedAt  time.Time
+	sent       int
+	earned     float64
+	attainable float64
+	result     LoadResult
 }
 
-// middle reports whether a time lies in the middle half.
-func (p *loadPlay) middle(t time.Time) bool {
-	at := t.Sub(p.begun)
-	return at >= p.l.Lasts/4 && at < p.l.Lasts*3/4
+// inMiddleHalf reports whether t lies in the middle half of the load.
+func (p *loadRun) inMiddleHalf(t time.Time) bool {
+	at := t.Sub(p.startedAt)
+	return at >= p.l.Duration/4 && at < p.l.Duration*3/4
 }
 
-// gap is the time until the next job.
-func (p *loadPlay) gap() time.Duration {
+// interarrival draws the time until the next job.
+func (p *loadRun) interarrival() time.Duration {
 	work := 0.0
 	for _, k := range p.l.Kinds {
-		work += k.Share * float64(k.Tasks) * k.Length.Seconds() * loadCPU
+		work += k.Share * float64(k.Tasks) * k.RunTime.Seconds() * meanTaskCPU
 	}
-	rate := p.l.Used * float64(len(p.w.agents)) * capacity / work * p.shares()
-	if p.l.Burst > 0 && p.middle(p.w.now) {
+	rate := p.l.Utilization * float64(len(p.w.agents)) * defaultCapacity / work * p.totalShare()
+	if p.l.Burst > 0 && p.inMiddleHalf(p.w.now) {
 		rate *= p.l.Burst
 	}
 	return time.Duration(p.rand.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (p *loadPlay) next() {
-	if p.w.now.Sub(p.begun) >= p.l.Lasts {
+func (p *loadRun) submitNext() {
+	if p.w.now.Sub(p.startedAt) >= p.l.Duration {
 		return
 	}
-	p.job()
-	p.w.at(p.gap(), p.next)
+	p.submit()
+	p.w.schedule(p.interarrival(), p.submitNext)
 }
 
-// share is how many jobs of a kind come now for each of all kinds at rest.
-func (p *loadPlay) share(k Kind) float64 {
-	if k.Burst > 0 && p.middle(p.w.now) {
+// currentShare returns the current rate of a kind relative to the rate of all kinds
+// outside bursts.
+func (p *loadRun) currentShare(k Kind) float64 {
+	if k.Burst > 0 && p.inMiddleHalf(p.w.now) {
 		return k.Share * k.Burst
 	}
 	return k.Share
 }
 
-func (p *loadPlay) shares() (sum float64) {
+func (p *loadRun) totalShare() (sum float64) {
 	for _, k := range p.l.Kinds {
-		sum += p.share(k)
+		sum += p.currentShare(k)
 	}
 	return sum
 }
 
-func (p *loadPlay) kind() int {
-	x := p.rand.Float64() * p.shares()
+func (p *loadRun) drawKind() int {
+	x := p.rand.Float64() * p.totalShare()
 	for i, k := range p.l.Kinds {
-		if x -= p.share(k); x < 0 {
+		if x -= p.currentShare(k); x < 0 {
 			return i
 		}
 	}
 	return len(p.l.Kinds) - 1
 }
 
-// spread draws a factor about one.
-func (p *loadPlay) spread(sigma float64) float64 {
+// lognormal draws a factor with mean one.
+func (p *loadRun) lognormal(sigma float64) float64 {
 	return math.Exp(sigma*p.rand.NormFloat64() - sigma*sigma/2)
 }
 
-func (p *loadPlay) job() {
-	i := p.kind()
+func (p *loadRun) submit() {
+	i := p.drawKind()
 	k := p.l.Kinds[i]
 	p.sent++
-	length := time.Duration(float64(k.Length) * p.spread(0.4))
-	cpu := int64(loadCPU * p.spread(0.2))
-	objective := loadTarget + time.Duration(loadStretch*float64(length))
-	x := &caller{w: p.w, id: fmt.Sprintf("%016x", p.sent), sent: p.w.now, ends: p.w.now.Add(4 * objective), kind: i, objective: objective}
+	runTime := time.Duration(float64(k.RunTime) * p.lognormal(0.4))
+	cpu := int64(meanTaskCPU * p.lognormal(0.2))
+	objective := loadTarget + time.Duration(loadStretch*float64(runTime))
+	x := &caller{w: p.w, id: fmt.Sprintf("%016x", p.sent), sentAt: p.w.now, deadline: p.w.now.Add(4 * objective), kind: i, objective: objective}
 	x.job = dispatcher.Job{
-		ID: x.id, Payload: payload(cpu, length), TimeLimit: 4 * objective,
+		ID: x.id, Payload: payload(cpu, runTime), TimeLimit: 4 * objective,
 		Queue: &pb.Queue{Name: k.Name, Service: "s", Priority: k.Priority, Attempts: 3, Stretch: loadStretch, TargetMs: uint32(loadTarget.Milliseconds())},
 		Steps: []dispatcher.Step{{
-			Count: max(1, int(math.Round(float64(k.Tasks)*p.spread(0.4)))), Size: size.Size{CPUMillis: cpu},
-			Estimated: time.Duration(float64(length) * p.spread(0.4)),
+			Count: max(1, int(math.Round(float64(k.Tasks)*p.lognormal(0.4)))), Size: size.Size{CPUMillis: cpu},
+			Estimated: time.Duration(float64(runTime) * p.lognormal(0.4)),
 		}},
 	}
 	p.w.callers = append(p.w.callers, x)
@@ -184,10 +185,10 @@
 	x.sendTo(p.w.entries[entry])
 }
 
-// over counts how a job went.
-func (p *loadPlay) over(x *caller, outcome dispatcher.Outcome, answered bool) {
+// jobEnded counts a job by its outcome.
+func (p *loadRun) jobEnded(x *caller, outcome dispatcher.Outcome, answered bool) {
 	s := &p.result.ByKind[x.kind]
-	value, elapsed := 0.0, p.w.now.Sub(x.sent)
+	value, elapsed := 0.0, p.w.now.Sub(x.sentAt)
 	s.Sent++
 	switch {
 	case answered && outcome == dispatcher.Completed && elapsed <= x.objective:
@@ -201,13 +202,13 @@
 	default:
 		s.Other++
 	}
-	if p.middle(x.sent) {
-		p.owed += p.l.Kinds[x.kind].Value
+	if p.inMiddleHalf(x.sentAt) {
+		p.attainable += p.l.Kinds[x.kind].Value
 		p.earned += value * p.l.Kinds[x.kind].Value
 	}
 }
 
-func (p *loadPlay) decided(d dispatcher.Decision) {
+func (p *loadRun) onDecision(d dispatcher.Decision) {
 	switch d.Event {
 	case "task_ordered":
 		p.result.Orders++
@@ -216,10 +217,10 @@
 	}
 }
 
-// lose takes workers away for half of the time.
-func (p *loadPlay) lose() {
-	n := int(p.l.Lost * float64(len(p.w.agents)))
+// crashWorkers takes Load.DownWorkers of the workers down for half of the duration.
+func (p *loadRun) crashWorkers() {
+	n := int(p.l.DownWorkers * float64(len(p.w.agents)))
 	for _, a := range p.w.agents[:n] {
-		a.worker.crashFor(p.l.Lasts / 2)
+		a.worker.crashFor(p.l.Duration / 2)
 	}
 }
--- a/dispatch/leasedcheck/load_test.go
+++ b/dispatch/leasedcheck/load_test.go
@@ -8,26 +8,26 @@
 	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
-// deskKinds are jobs like those of a test desk: urgent ones of many short tasks, most of
-// two, and long ones that give way.
-var deskKinds = []Kind{
-	{Name: "gauge", Priority: 0, Share: 0.242, Tasks: 8, Length: 60 * time.Millisecond, Value: 2.9},
-	{Name: "stamp", Priority: 1, Share: 0.703, Tasks: 2, Length: 200 * time.Millisecond, Value: 1},
-	{Name: "report", Priority: 2, Share: 0.055, Tasks: 4, Length: 900 * time.Millisecond, Value: 16},
+// mixedKinds are urgent jobs of many short tasks, jobs of two tasks, which are the
+// majority, and long jobs of low priority.
+var mixedKinds = []Kind{
+	{Name: "gauge", Priority: 0, Share: 0.242, Tasks: 8, RunTime: 60 * time.Millisecond, Value: 2.9},
+	{Name: "stamp", Priority: 1, Share: 0.703, Tasks: 2, RunTime: 200 * time.Millisecond, Value: 1},
+	{Name: "report", Priority: 2, Share: 0.055, Tasks: 4, RunTime: 900 * time.Millisecond, Value: 16},
 }
 
-// fleet is a site in which each agent is linked to a part of the entries.
+// fleet is a site in which each agent is linked to a subset of the entries.
 var fleet = Options{Entries: 20, Agents: 60, Links: 12}
 
-// overload is a burst of a fifth while a quarter of the workers are dark. With what does
-// not fit beside other tasks, a third more comes than workers can do.
-var overload = Load{Kinds: deskKinds, Used: 0.75, Burst: 1.2, Lost: 0.25, Lasts: 8 * time.Second}
+// overload is a burst of a fifth while a quarter of the workers are down. With the
+// capacity lost to fragmentation, a third more work arrives than workers can run.
+var overload = Load{Kinds: mixedKinds, Utilization: 0.75, Burst: 1.2, DownWorkers: 0.25, Duration: 8 * time.Second}
 
-// overloaded is the fleet under the overload, with all mechanisms.
-var overloaded = sync.OnceValue(func() LoadResult { return sum(fleet, overload) })
+// overloadResult is the result of the fleet under overload with all features enabled.
+var overloadResult = sync.OnceValue(func() LoadResult { return runSeeds(fleet, overload) })
 
-// sum plays a load on some seeds.
-func sum(o Options, l Load) (all LoadResult) {
+// runSeeds runs a load on several seeds and combines the results.
+func runSeeds(o Options, l Load) (all LoadResult) {
 	const seeds = 3
 	var results [seeds]LoadResult
 	var wg sync.WaitGroup
@@ -46,7 +46,7 @@
 	return all
 }
 
-func (r LoadResult) share(count func(Served) int) float64 {
+func (r LoadResult) share(count func(JobCounts) int) float64 {
 	sent, n := 0, 0
 	for _, s := range r.ByKind {
 		sent += s.Sent
@@ -55,87 +55,89 @@
 	return float64(n) / float64(sent)
 }
 
-func heldInVain(s Served) int { return s.Other }
-func late(s Served) int       { return s.Late }
+func heldWithoutAnswer(s JobCounts) int { return s.Other }
+func late(s JobCounts) int              { return s.Late }
 
-// A burst comes while workers are dark. Who can't be served must hear so at once, and not
-// be held to the end of the time for no answer: at most one in thirty is. Of a load that
-// is a third too much, two thirds of what could be earned is earned.
-func TestOverloadIsRefusedAndNotHeld(t *testing.T) {
+// A burst arrives while workers are down. Callers that can't be served must be refused at
+// once instead of held until their deadline without an answer: at most one in thirty is.
+// At an overload of a third, two thirds of the achievable value must be earned.
+func TestOverloadIsRefusedImmediately(t *testing.T) {
 	t.Parallel()
-	r := overloaded()
-	if got := r.share(heldInVain); got > 1./30 {
-		t.Errorf("%.3f of the callers were held for no answer", got)
+	r := overloadResult()
+	if got := r.share(heldWithoutAnswer); got > 1./30 {
+		t.Errorf("%.3f of the callers were held without an answer", got)
 	}
 	if r.Value < 2./3*3/4 {
-		t.Errorf("%.3f of the worth was earned", r.Value)
+		t.Errorf("%.3f of the value was earned", r.Value)
 	}
 }
 
-// The same load with one of the mechanisms switched off that answer it. Each must be
-// worth something here, or it goes.
-func TestEachMechanismAnswersTheOverload(t *testing.T) {
+// The same load with one of the features disabled that handle overload. Each must improve
+// the result here, or it isn't worth keeping.
+func TestEachOverloadFeatureImprovesTheResult(t *testing.T) {
 	t.Parallel()
-	with := overloaded()
-	worth := func(r LoadResult) float64 { return r.Value - r.share(heldInVain) }
-	for name, off := range map[string]without.Set{"margin": without.Margin, "late-yield": without.LateYield} {
+	enabled := overloadResult()
+	score := func(r LoadResult) float64 { return r.Value - r.share(heldWithoutAnswer) }
+	for name, feature := range map[string]without.Set{"margin": without.Margin, "late-yield": without.LateYield} {
 		o := fleet
-		o.Without = off
-		if r := sum(o, overload); worth(r) >= worth(with) {
-			t.Errorf("without %s: %.3f earned, %.3f held in vain; with it %.3f and %.3f", name, r.Value, r.share(heldInVain), with.Value, with.share(heldInVain))
+		o.Disabled = feature
+		if r := runSeeds(o, overload); score(r) >= score(enabled) {
+			t.Errorf("without %s: %.3f earned, %.3f held without an answer; with it %.3f and %.3f", name, r.Value, r.share(heldWithoutAnswer), enabled.Value, enabled.share(heldWithoutAnswer))
 		}
 	}
 }
 
-// shifted is a burst of all jobs by three tenths, and of the long ones of least urgency by
-// eight tenths besides: with what workers do already, two fifths more comes than they can.
-var shifted = Load{
+// longJobBurst is a burst of all jobs by three tenths, and of the long jobs of the lowest
+// priority by another eight tenths. Together with the work in progress, two fifths more
+// arrives than workers can run.
+var longJobBurst = Load{
 	Kinds: []Kind{
-		{Name: "gauge", Priority: 0, Share: 0.232, Tasks: 8, Length: 60 * time.Millisecond, Value: 2.9},
-		{Name: "stamp", Priority: 1, Share: 0.676, Tasks: 2, Length: 200 * time.Millisecond, Value: 1},
-		{Name: "report", Priority: 2, Share: 0.092, Tasks: 4, Length: 900 * time.Millisecond, Value: 16, Burst: 1.8},
+		{Name: "gauge", Priority: 0, Share: 0.232, Tasks: 8, RunTime: 60 * time.Millisecond, Value: 2.9},
+		{Name: "stamp", Priority: 1, Share: 0.676, Tasks: 2, RunTime: 200 * time.Millisecond, Value: 1},
+		{Name: "report", Priority: 2, Share: 0.092, Tasks: 4, RunTime: 900 * time.Millisecond, Value: 16, Burst: 1.8},
 	},
-	Used: 0.78, Burst: 1.3, Lasts: 8 * time.Second,
+	Utilization: 0.78, Burst: 1.3, Duration: 8 * time.Second,
 }
 
-// Long jobs of the least urgent queue come by twice as many as before, into a load near
-// the capacity. Were they taken in by the forecasts of single orders, four tenths of what
-// workers do would end late, of all queues. All that is more urgent served first, and the
-// long jobs with the rest, 0.69 could be earned; two thirds of that must be.
+// The rate of long jobs in the lowest-priority queue doubles at a load near the capacity.
+// If they were admitted by the predictions for single orders, four tenths of the work
+// would end late, in all queues. Serving higher priorities first and long jobs with the
+// remaining capacity can earn 0.69; two thirds of that are required.
 func TestBurstOfLongJobsEndsInTimeOrIsRefused(t *testing.T) {
 	t.Parallel()
-	r := sum(Options{Entries: 9, Agents: 60}, shifted)
+	r := runSeeds(Options{Entries: 9, Agents: 60}, longJobBurst)
 	if want := 0.69 * 2 / 3; r.Value < want {
-		t.Errorf("%.3f of the worth was earned, want %.3f", r.Value, want)
+		t.Errorf("%.3f of the value was earned, want %.3f", r.Value, want)
 	}
-	if got := r.share(heldInVain); got > 1./30 {
-		t.Errorf("%.3f of the callers were held for no answer", got)
+	if got := r.share(heldWithoutAnswer); got > 1./30 {
+		t.Errorf("%.3f of the callers were held without an answer", got)
 	}
 	if got := r.share(late); got > 1./8 {
 		t.Errorf("%.3f of the jobs ended late", got)
 	}
 }
 
-// Callers happen to be led to one door: it gets a third of all jobs, and its own part of
-// the workers is an entry's like any other's. It must serve them with others' workers.
-func TestOneDoorGetsAThirdOfTheJobs(t *testing.T) {
+// Callers connect unevenly: one entry receives a third of all jobs, but its subset of the
+// workers is no larger than that of the others. It must serve the jobs on workers that are
+// linked to other entries.
+func TestOneEntryReceivesAThirdOfTheJobs(t *testing.T) {
 	t.Parallel()
-	even := sum(fleet, Load{Kinds: deskKinds, Used: 0.7, Lasts: 4 * time.Second})
-	uneven := sum(fleet, Load{Kinds: deskKinds, Used: 0.7, Lasts: 4 * time.Second, Skew: 0.3})
+	even := runSeeds(fleet, Load{Kinds: mixedKinds, Utilization: 0.7, Duration: 4 * time.Second})
+	uneven := runSeeds(fleet, Load{Kinds: mixedKinds, Utilization: 0.7, Duration: 4 * time.Second, Skew: 0.3})
 	if uneven.Value < even.Value-0.05 {
-		t.Errorf("%.3f earned, %.3f when jobs come to all doors alike", uneven.Value, even.Value)
+		t.Errorf("%.3f earned, %.3f with jobs distributed evenly", uneven.Value, even.Value)
 	}
 }
 
-// A fleet whose agents are linked to a part of the entries must serve a usual load as
-// well as one where all are linked to all.
-func TestPartOfTheLinksServesAsWell(t *testing.T) {
+// A fleet whose agents are linked to a subset of the entries must serve a normal load as
+// well as one in which all agents are linked to all entries.
+func TestLinkSubsetsServeAsWell(t *testing.T) {
 	t.Parallel()
-	usual := Load{Kinds: deskKinds, Used: 0.6, Lasts: 4 * time.Second}
+	normal := Load{Kinds: mixedKinds, Utilization: 0.6, Duration: 4 * time.Second}
 	all := fleet
 	all.Links = 0
-	part, mesh := sum(fleet, usual), sum(all, usual)
-	if part.Value < mesh.Value-0.03 || part.share(late) > mesh.share(late)+0.03 {
-		t.Errorf("%.3f earned, %.3f late; with all links %.3f and %.3f", part.Value, part.share(late), mesh.Value, mesh.share(late))
+	subsets, mesh := runSeeds(fleet, normal), runSeeds(all, normal)
+	if subsets.Value < mesh.Value-0.03 || subsets.share(late) > mesh.share(late)+0.03 {
+		t.Errorf("%.3f earned, %.3f late; with all links %.3f and %.3f", subsets.Value, subsets.share(late), mesh.Value, mesh.share(late))
 	}
 }
--- a/dispatch/leasedcheck/worker.go
+++ b/dispatch/leasedcheck/worker.go
@@ -8,70 +8,70 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-const capacity = 4000
+const defaultCapacity = 4000
 
-// capacityCounts is how long after a worker has shrunk its earlier capacity still counts: it
-// tells of it with its next report, and its agent may be frozen.
-const capacityCounts = 5 * time.Second
+// oldCapacityGrace is how long the earlier capacity of a worker still counts after it has
+// shrunk: the worker sends the change with its next report, and its agent may be frozen.
+const oldCapacityGrace = 5 * time.Second
 
-// simWorker is one life of a worker: it starts what it is told to, under one lease,
-// and keeps ends until they are taken note of.
+// simWorker is one incarnation of a worker. It starts runs under one lease and keeps their
+// ends until the agent acknowledges them.
 type simWorker struct {
-	w        *World
-	a        *agentNode
-	life     int
-	up       bool
-	draining bool
-	capacity int64
-	// before is the capacity that counts until shrunk, too.
-	before   int64
-	shrunk   time.Time
-	begun    time.Time
-	rate     float64 // of its clock
-	lease    time.Time
-	token    uint64
-	runs     map[string]*simRun
-	highest  map[string]uint32 // run stopped or ended, by task
-	ends     []runner.End
-	endNo    uint64
-	waiters  []func()
-	lossy    time.Time // until when calls are lost or late
-	reported uint64
+	w           *World
+	a           *agentNode
+	incarnation int
+	up          bool
+	draining    bool
+	capacity    int64
+	// oldCapacity counts, too, until oldCapacityUntil.
+	oldCapacity      int64
+	oldCapacityUntil time.Time
+	startedAt        time.Time
+	clockRate        float64 // of the worker's clock, relative to the simulated time
+	leaseEnd         time.Time
+	token            uint64
+	runs             map[string]*simRun
+	highestRun       map[string]uint32 // by task, of the runs stopped or ended
+	ends             []runner.End
+	lastEnd          uint64
+	pollWaiters      []func()
+	lossyUntil       time.Time // calls are lost or late until then
+	reportSequence   uint64
 }
 
 type simRun struct {
-	task     string
-	run      uint32
-	cpu      int64
-	began    time.Time
-	length   time.Duration
-	stopping bool
+	task      string
+	run       uint32
+	cpu       int64
+	startedAt time.Time
+	runTime   time.Duration
+	stopping  bool
 }
 
-func newSimWorker(w *World, a *agentNode, life int) *simWorker {
+func newSimWorker(w *World, a *agentNode, incarnation int) *simWorker {
 	s := &simWorker{
-		w: w, a: a, life: life, up: true, capacity: capacity, begun: w.now, rate: 1 - 0.02*w.rand.Float64(),
-		runs: map[string]*simRun{}, highest: map[string]uint32{},
+		w: w, a: a, incarnation: incarnation, up: true, capacity: defaultCapacity, startedAt: w.now, clockRate: 1 - 0.02*w.rand.Float64(),
+		runs: map[string]*simRun{}, highestRun: map[string]uint32{},
 	}
-	w.at(w.upTo(20*time.Millisecond), s.report)
+	w.schedule(w.jitter(20*time.Millisecond), s.report)
 	return s
 }
 
-func (s *simWorker) id() string { return fmt.Sprintf("w%d.%d", s.a.index, s.life) }
+func (s *simWorker) id() string { return fmt.Sprintf("w%d.%d", s.a.index, s.incarnation) }
 
-// identity is what messages name: a new identifier for each life, or the birth beside one
-// that stays.
+// identity returns the incarnation that messages name: a new identifier for each one, or
+// one stable identifier with the start time.
 func (s *simWorker) identity() runner.Life {
-	if s.w.o.Reborn {
-		return runner.Life{ID: fmt.Sprintf("w%d", s.a.index), Born: s.begun.UnixMilli()}
+	if s.w.o.WorkerRestarts {
+		return runner.Life{ID: fmt.Sprintf("w%d", s.a.index), Born: s.startedAt.UnixMilli()}
 	}
 	return runner.Life{ID: s.id()}
 }
 
-// listening is the life that a call reaches: the present one at the address, whichever it was
-// made to.
-func (s *simWorker) listening() *simWorker {
-	if s.w.o.Reborn {
+// receiver returns the incarnation that a call reaches: with a stable identifier the
+// current one at the address, whichever incarnation the call was meant for.
+func (s *simWorker) receiver() *simWorker {
+	if s.w.o.WorkerRestarts {
 		return s.a.worker
 	}
 	return s
@@ -80,83 +80,84 @@
 // resize changes the capacity.
 func (s *simWorker) resize(to int64) {
 	s.w.trace("%s has a capacity of %d", s.id(), to)
-	if room := s.room(); to < room {
-		s.before, s.shrunk = room, s.w.now.Add(capacityCounts)
+	if current := s.effectiveCapacity(); to < current {
+		s.oldCapacity, s.oldCapacityUntil = current, s.w.now.Add(oldCapacityGrace)
 	}
 	s.capacity = to
 }
 
-// room is the capacity that starts are held against.
-func (s *simWorker) room() int64 {
-	if s.w.now.Before(s.shrunk) {
-		return max(s.capacity, s.before)
+// effectiveCapacity returns the capacity that starts are checked against.
+func (s *simWorker) effectiveCapacity() int64 {
+	if s.w.now.Before(s.oldCapacityUntil) {
+		return max(s.capacity, s.oldCapacity)
 	}
 	return s.capacity
 }
 
 func (s *simWorker) clock() time.Duration {
-	return time.Second + time.Duration(float64(s.w.now.Sub(s.begun))*s.rate)
+	return time.Second + time.Duration(float64(s.w.now.Sub(s.startedAt))*s.clockRate)
 }
 
-// onOurs is the moment at which the worker's clock shows a time.
-func (s *simWorker) onOurs(clock time.Duration) time.Time {
-	return s.begun.Add(time.Duration(float64(clock-time.Second) / s.rate))
+// simTime returns the simulated time at which the worker's clock shows the given time.
+func (s *simWorker) simTime(clock time.Duration) time.Time {
+	return s.startedAt.Add(time.Duration(float64(clock-time.Second) / s.clockRate))
 }
 
-// report is the worker's heartbeat to its agent.
+// report sends the worker's heartbeat to its agent.
 func (s *simWorker) report() {
 	if !s.up {
 		return
 	}
-	s.reported++
+	s.reportSequence++
 	report := runner.Worker{
-		Life: s.identity(), Service: "s", Capacity: size.Size{CPUMillis: s.capacity, MemoryMB: 1 << 20}, Draining: s.draining, Sequence: s.reported,
+		Life: s.identity(), Service: "s", Capacity: size.Size{CPUMillis: s.capacity, MemoryMB: 1 << 20}, Draining: s.draining, Sequence: s.reportSequence,
 	}
-	s.a.run(s.a.life, func() {
+	s.a.run(s.a.incarnation, func() {
 		s.a.decide(func(now time.Time) {
 			if s.a.core.Reported(now, report) {
-				s.a.record = report
+				s.a.recordedWorker = report
 			}
 		})
 	})
-	s.w.at(300*time.Millisecond, s.report)
+	s.w.schedule(300*time.Millisecond, s.report)
 }
 
-// crash ends this life; another one begins after a while.
-func (s *simWorker) crash(dark bool) {
-	pause := 100*time.Millisecond + s.w.upTo(time.Second)
-	if dark {
-		pause += time.Second
+// crash ends this incarnation. Another one starts after 0.1 s to 1.1 s, and a second later
+// if longOutage is set.
+func (s *simWorker) crash(longOutage bool) {
+	downtime := 100*time.Millisecond + s.w.jitter(time.Second)
+	if longOutage {
+		downtime += time.Second
 	}
-	s.crashFor(pause)
+	s.crashFor(downtime)
 }
 
-func (s *simWorker) crashFor(pause time.Duration) {
+func (s *simWorker) crashFor(downtime time.Duration) {
 	s.w.trace("%s crashes", s.id())
 	for _, task := range sortedKeys(s.runs) {
-		s.w.checker.ends(s, task)
+		s.w.checker.runEnded(s, task)
 	}
 	s.up = false
 	s.runs = map[string]*simRun{}
-	s.w.at(pause, func() { s.a.worker = newSimWorker(s.w, s.a, s.life+1) })
+	s.w.schedule(downtime, func() { s.a.worker = newSimWorker(s.w, s.a, s.incarnation+1) })
 }
 
-// call carries a call out and its answer back: mostly at once, on a lossy worker
-// sometimes late or without an answer. lost is called in its place by the caller's
-// own time-out.
-func (s *simWorker) call(a *agentNode, timeout time.Duration, do func(to *simWorker) (answer func()), lost func(refused bool)) {
-	life, answered := a.life, false
+// call executes a call to the worker and delivers its response: mostly at once, on a lossy
+// worker sometimes late or without a response. Instead of the response, lost is called
+// when the call times out or is refused.
+func (s *simWorker) call(a *agentNode, timeout time.Duration, do func(to *simWorker) (deliver func()), lost func(refused bool)) {
+	incarnation, answered := a.incarnation, false
 	a.after(timeout, func() {
 		if !answered {
 			answered = true
 			lost(false)
 		}
 	})
-	carry := func(reply bool) {
-		to := s.listening()
+	execute := func(respond bool) {
+		to := s.receiver()
 		if !to.up {
-			if reply && s.w.chance(0.7) {
-				a.run(life, func() {
+			if respond && s.w.chance(0.7) {
+				a.run(incarnation, func() {
 					if !answered {
 						answered = true
 						lost(true)
@@ -165,45 +166,45 @@
 			}
 			return
 		}
-		answer := do(to)
-		if !reply || answer == nil {
+		deliver := do(to)
+		if !respond || deliver == nil {
 			return
 		}
-		s.w.at(s.w.upTo(time.Millisecond), func() {
-			a.run(life, func() {
+		s.w.schedule(s.w.jitter(time.Millisecond), func() {
+			a.run(incarnation, func() {
 				if !answered {
 					answered = true
-					answer()
+					deliver()
 				}
 			})
 		})
 	}
-	delay := 200*time.Microsecond + s.w.upTo(time.Millisecond)
-	lossy := s.w.now.Before(s.lossy)
+	delay := 200*time.Microsecond + s.w.jitter(time.Millisecond)
+	lossy := s.w.now.Before(s.lossyUntil)
 	switch {
 	case lossy && s.w.chance(0.2):
-		s.w.at(2*time.Second+s.w.upTo(4*time.Second), func() { carry(false) })
+		s.w.schedule(2*time.Second+s.w.jitter(4*time.Second), func() { execute(false) })
 	case lossy && s.w.chance(0.25):
-		s.w.at(delay, func() { carry(false) })
+		s.w.schedule(delay, func() { execute(false) })
 	default:
-		s.w.at(delay, func() { carry(true) })
+		s.w.schedule(delay, func() { execute(true) })
 	}
 }
 
-// extend takes a lease time from a call.
-func (s *simWorker) extend(until time.Duration) {
+// extendLease applies the lease time of a call.
+func (s *simWorker) extendLease(until time.Duration) {
 	if until <= 0 {
 		return
 	}
-	at := s.onOurs(min(until, s.clock()+time.Second))
-	if at.After(s.lease) {
-		s.lease = at
-		s.w.at(at.Sub(s.w.now), s.lapse)
+	at := s.simTime(min(until, s.clock()+time.Second))
+	if at.After(s.leaseEnd) {
+		s.leaseEnd = at
+		s.w.schedule(at.Sub(s.w.now), s.expireLease)
 	}
 }
 
-func (s *simWorker) lapse() {
-	if !s.up || s.w.now.Before(s.lease) {
+func (s *simWorker) expireLease() {
+	if !s.up || s.w.now.Before(s.leaseEnd) {
 		return
 	}
 	for _, task := range sortedKeys(s.runs) {
@@ -214,15 +215,15 @@
 func (s *simWorker) finish(task string, how runner.Ending) {
 	r := s.runs[task]
 	delete(s.runs, task)
-	s.highest[task] = max(s.highest[task], r.run)
-	s.endNo++
-	s.ends = append(s.ends, runner.End{Number: s.endNo, Task: task, Run: r.run, How: how})
-	s.w.checker.ends(s, task)
+	s.highestRun[task] = max(s.highestRun[task], r.run)
+	s.lastEnd++
+	s.ends = append(s.ends, runner.End{Number: s.lastEnd, Task: task, Run: r.run, How: how})
+	s.w.checker.runEnded(s, task)
 	if how == runner.EndedDone {
-		s.w.checker.done[task] = true
+		s.w.checker.succeeded[task] = true
 	}
-	waiters := s.waiters
-	s.waiters = nil
+	waiters := s.pollWaiters
+	s.pollWaiters = nil
 	for _, f := range waiters {
 		f()
 	}
@@ -260,22 +261,22 @@
 	if c.Until <= s.clock() {
 		return runner.Refused
 	}
-	s.extend(c.Until)
-	if c.Run <= s.highest[c.Task] || s.runs[c.Task] != nil {
+	s.extendLease(c.Until)
+	if c.Run <= s.highestRun[c.Task] || s.runs[c.Task] != nil {
 		return runner.OldRun
 	}
-	r := &simRun{task: c.Task, run: c.Run, cpu: cpuOf(c.Payload), began: s.w.now, length: lengthOf(c.Payload)}
+	r := &simRun{task: c.Task, run: c.Run, cpu: payloadCPU(c.Payload), startedAt: s.w.now, runTime: payloadRunTime(c.Payload)}
 	s.runs[c.Task] = r
-	s.w.checker.begins(s, r)
-	if crashesOf(c.Payload) {
-		s.w.at(time.Millisecond, func() {
+	s.w.checker.runStarted(s, r)
+	if crashesWorker(c.Payload) {
+		s.w.schedule(time.Millisecond, func() {
 			if s.up {
 				s.w.checker.r.Crashes++
 				s.crash(false)
 			}
 		})
 	}
-	s.w.at(r.length, func() {
+	s.w.schedule(r.runTime, func() {
 		if s.up && s.runs[c.Task] == r && !r.stopping {
 			how := runner.EndedDone
 			if s.w.chance(0.03) {
@@ -303,45 +304,45 @@
 func (s *simWorker) stop(c runner.Stop) {
 	r := s.runs[c.Task]
 	if r == nil || r.run > c.Run {
-		s.highest[c.Task] = max(s.highest[c.Task], c.Run)
+		s.highestRun[c.Task] = max(s.highestRun[c.Task], c.Run)
 		return
 	}
 	if r.run < c.Run || r.stopping {
 		return
 	}
 	r.stopping = true
-	s.w.at(s.w.upTo(50*time.Millisecond), func() {
+	s.w.schedule(s.w.jitter(50*time.Millisecond), func() {
 		if s.up && s.runs[c.Task] == r {
 			s.finish(c.Task, runner.EndedStopped)
 		}
 	})
 }
 
-func (s *simWorker) callLook(a *agentNode, l runner.Look, waiting bool) {
+func (s *simWorker) callPoll(a *agentNode, l runner.Look, waiting bool) {
 	next := func() {
 		if waiting {
-			a.look(true)
+			a.poll(true)
 		}
 	}
-	life, over := a.life, false
+	incarnation, responded := a.incarnation, false
 	respond := func(s *simWorker) {
-		if over || !s.up {
+		if responded || !s.up {
 			return
 		}
-		over = true
+		responded = true
 		seen := runner.Seen{Born: s.identity().Born, Clock: s.clock(), Ended: append([]runner.End(nil), s.ends...)}
 		for _, task := range sortedKeys(s.runs) {
 			r := s.runs[task]
-			percent := int(100 * s.w.now.Sub(r.began) / r.length)
+			percent := int(100 * s.w.now.Sub(r.startedAt) / r.runTime)
 			seen.Running = append(seen.Running, runner.Row{Task: task, Run: r.run, Percent: min(percent, 99)})
 		}
-		lost := s.w.now.Before(s.lossy) && s.w.chance(0.2)
-		s.w.at(s.w.upTo(time.Millisecond), func() {
+		lost := s.w.now.Before(s.lossyUntil) && s.w.chance(0.2)
+		s.w.schedule(s.w.jitter(time.Millisecond), func() {
 			if lost {
 				return
 			}
-			a.run(life, func() {
-				if a.lookDone(&life) {
+			a.run(incarnation, func() {
+				if a.claimPoll(&incarnation) {
 					a.decide(func(now time.Time) { a.core.Looked(now, l, seen) })
 					next()
 				}
@@ -349,21 +350,21 @@
 		})
 	}
 	a.after(l.Wait+l.Slack, func() {
-		if a.lookDone(&life) {
+		if a.claimPoll(&incarnation) {
 			a.decide(func(now time.Time) { a.core.LookFailed(now, l, false) })
 			a.after(20*time.Millisecond, next)
 		}
 	})
-	delay := 200*time.Microsecond + s.w.upTo(time.Millisecond)
-	if s.w.o.Reborn && s.w.now.Before(s.lossy) && s.w.chance(0.1) {
-		delay = s.w.upTo(3 * time.Second)
+	delay := 200*time.Microsecond + s.w.jitter(time.Millisecond)
+	if s.w.o.WorkerRestarts && s.w.now.Before(s.lossyUntil) && s.w.chance(0.1) {
+		delay = s.w.jitter(3 * time.Second)
 	}
-	s.w.at(delay, func() {
-		s := s.listening()
+	s.w.schedule(delay, func() {
+		s := s.receiver()
 		switch {
 		case !s.up && s.w.chance(0.7), s.up && l.Worker.ID != s.identity().ID:
-			a.run(life, func() {
-				if a.lookDone(&life) {
+			a.run(incarnation, func() {
+				if a.claimPoll(&incarnation) {
 					a.decide(func(now time.Time) { a.core.LookFailed(now, l, true) })
 					a.after(20*time.Millisecond, next)
 				}
@@ -372,8 +373,8 @@
 		case !s.up:
 			return
 		case l.Token < s.token:
-			a.run(life, func() {
-				if a.lookDone(&life) {
+			a.run(incarnation, func() {
+				if a.claimPoll(&incarnation) {
 					a.decide(func(now time.Time) { a.core.LookFenced(now, l, s.clock()) })
 					a.after(20*time.Millisecond, next)
 				}
@@ -381,7 +382,7 @@
 			return
 		}
 		s.token = l.Token
-		s.extend(l.Until)
+		s.extendLease(l.Until)
 		for len(s.ends) > 0 && s.ends[0].Number <= l.Seen {
 			s.ends = s.ends[1:]
 		}
@@ -389,16 +390,17 @@
 			respond(s)
 			return
 		}
-		s.waiters = append(s.waiters, func() { respond(s) })
-		s.w.at(l.Wait, func() { respond(s) })
+		s.pollWaiters = append(s.pollWaiters, func() { respond(s) })
+		s.w.schedule(l.Wait, func() { respond(s) })
 	})
 }
 
-// lookDone reports, once for each look, that its answer or time-out may be taken.
-func (a *agentNode) lookDone(life *int) bool {
-	if *life != a.life {
+// claimPoll reports whether the response or timeout of a poll may be handled, which is so
+// once per poll. It marks the poll as handled by setting *incarnation to -1.
+func (a *agentNode) claimPoll(incarnation *int) bool {
+	if *incarnation != a.incarnation {
 		return false
 	}
-	*life = -1
+	*incarnation = -1
 	return true
 }
--- a/dispatch/leasedcheck/world.go
+++ b/dispatch/leasedcheck/world.go
@@ -16,43 +16,43 @@
 	Seed    uint64
 	Entries int
 	Agents  int
-	// Links is how many entries an agent is linked to; zero: all, always. Which ones
-	// changes as a fault.
+	// Links is the number of entries that an agent is linked to; zero means all. With a
+	// subset, a change of its members is one of the faults.
 	Links int
 	Jobs  int
-	// Faults is how many faults happen in the time in which jobs arrive.
+	// Faults is the number of faults injected while jobs arrive.
 	Faults int
-	// Evacuations is how many times operators evacuate or restore a failure domain in
-	// that time, and as often the store forgets its history.
+	// Evacuations is how many times operators evacuate or restore a failure domain while
+	// jobs arrive. The store drops its history as often.
 	Evacuations int
-	// Reborn has workers keep their identifier when they begin anew, tasks that crash their
-	// worker, and capacities that change.
-	Reborn bool
-	// Without are mechanisms that are switched off.
-	Without without.Set
-	// Trace is told of each event; nil: nobody.
+	// WorkerRestarts makes workers keep their identifier across restarts, and adds tasks
+	// that crash their worker and changes of capacity.
+	WorkerRestarts bool
+	// Disabled is the set of disabled features.
+	Disabled without.Set
+	// Trace, if not nil, is called with each event.
 	Trace func(string)
 }
 
-// Result is what a run has shown.
+// Result summarizes a run.
 type Result struct {
-	// Broken lists the promises that were broken, with their moments.
-	Broken    []string
-	Completed int
-	NotRun    int
-	Other     int
-	Starts    int
-	// Crashes are those that tasks caused.
+	// Violations lists the violated guarantees, each with its time.
+	Violations []string
+	Completed  int
+	NotRun     int
+	Other      int
+	Starts     int
+	// Crashes counts the worker crashes that tasks caused.
 	Crashes int
 }
 
-// World is everything of one run.
+// World is the simulated system of one run. It is not safe for concurrent use.
 type World struct {
-	o      Options
-	rand   *rand.Rand
-	now    time.Time
-	events eventHeap
-	number uint64
+	o        Options
+	rand     *rand.Rand
+	now      time.Time
+	events   eventHeap
+	sequence uint64
 
 	times     bounds.Times
 	link      link.Options
@@ -61,24 +61,25 @@
 	callers   []*caller
 	checker   checker
 	operators operators
-	load      *loadPlay // nil: none is played
+	load      *loadRun // nil if no load is simulated
 	frames    frameCounts
 }
 
 const (
-	// traffic is how long jobs arrive, and settle how long the world then goes on.
-	traffic = 8 * time.Second
-	settle  = 25 * time.Second
-	resend  = 1300 * time.Millisecond
+	// arrivalTime is how long jobs arrive, and settleTime how long the simulation then
+	// continues.
+	arrivalTime = 8 * time.Second
+	settleTime  = 25 * time.Second
+	resendDelay = 1300 * time.Millisecond
 )
 
-// newWorld starts all processes.
+// newWorld returns a World in which all processes are started.
 func newWorld(o Options) *World {
 	w := &World{o: o, rand: rand.New(rand.NewPCG(o.Seed, 1)), now: time.Unix(1_000_000, 0)}
-	w.times, _ = bounds.Derive(bounds.Given{Resend: resend, MaxLease: time.Second, Stop: 50 * time.Millisecond})
+	w.times, _ = bounds.Derive(bounds.Given{Resend: resendDelay, MaxLease: time.Second, Stop: 50 * time.Millisecond})
 	w.link = link.Options{AckDelay: 70 * time.Millisecond, AckTimeout: 430 * time.Millisecond, Heartbeat: time.Second, HeartbeatTimeout: 2500 * time.Millisecond}
 	w.operators = operators{w: w, revision: 1, evacuated: map[string]time.Time{}}
-	w.checker = checker{w: w, running: map[string]map[*simWorker]uint32{}, started: map[string]bool{}, done: map[string]bool{}, refused: map[string]bool{}, starts: map[string]int{}}
+	w.checker = checker{w: w, running: map[string]map[*simWorker]uint32{}, started: map[string]bool{}, succeeded: map[string]bool{}, refused: map[string]bool{}, starts: map[string]int{}}
 	for i := range o.Entries {
 		w.entries = append(w.entries, newEntryNode(w, i))
 	}
@@ -97,24 +98,24 @@
 	return w
 }
 
-// Run plays one seed.
+// Run simulates the schedule of o.Seed.
 func Run(o Options) Result {
 	w := newWorld(o)
-	w.at(300*time.Millisecond, func() {
+	w.schedule(300*time.Millisecond, func() {
 		for range o.Jobs {
-			w.at(w.upTo(traffic), w.newCaller)
+			w.schedule(w.jitter(arrivalTime), w.newCaller)
 		}
 		for range o.Faults {
-			w.at(w.upTo(traffic), w.fault)
+			w.schedule(w.jitter(arrivalTime), w.injectFault)
 		}
 		for range o.Evacuations {
-			w.at(w.upTo(traffic), w.operators.act)
-			w.at(w.upTo(traffic), w.operators.forget)
+			w.schedule(w.jitter(arrivalTime), w.operators.toggleDomain)
+			w.schedule(w.jitter(arrivalTime), w.operators.dropHistory)
 		}
 	})
-	end := w.now.Add(traffic + settle)
+	end := w.now.Add(arrivalTime + settleTime)
 	for len(w.events) > 0 && w.events[0].at.Before(end) {
-		e := heap.Pop(&w.events).(*timed)
+		e := heap.Pop(&w.events).(*event)
 		w.now = e.at
 		e.f()
 	}
@@ -127,39 +128,40 @@
 	}
 }
 
-// upTo draws a time below d.
-func (w *World) upTo(d time.Duration) time.Duration { return time.Duration(w.rand.Int64N(int64(d))) }
+// jitter draws a duration below d.
+func (w *World) jitter(d time.Duration) time.Duration { return time.Duration(w.rand.Int64N(int64(d))) }
 
 func (w *World) chance(p float64) bool { return w.rand.Float64() < p }
 
-// at calls f after d.
-func (w *World) at(d time.Duration, f func()) *timed {
-	w.number++
-	e := &timed{at: w.now.Add(d), number: w.number, f: f}
+// schedule calls f after d.
+func (w *World) schedule(d time.Duration, f func()) *event {
+	w.sequence++
+	e := &event{at: w.now.Add(d), sequence: w.sequence, f: f}
 	heap.Push(&w.events, e)
 	return e
 }
 
-// timed is a call at a time.
-type timed struct {
-	at     time.Time
-	number uint64
-	f      func()
+// event is a function call scheduled at a time. Events at the same time run in the order
+// of their sequence numbers.
+type event struct {
+	at       time.Time
+	sequence uint64
+	f        func()
 }
 
-type eventHeap []*timed
+type eventHeap []*event
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
 	if h[i].at.Equal(h[j].at) {
-		return h[i].number < h[j].number
+		return h[i].sequence < h[j].sequence
 	}
 	return h[i].at.Before(h[j].at)
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(*timed)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(*event)) }
 
 // Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
@@ -169,43 +171,43 @@
 	return e
 }
 
-// process is what entries and agents have in common: they can freeze and die.
+// process is the common part of entries and agents, which can freeze and be killed.
 type process struct {
-	w       *World
-	name    string
-	life    int // grows with each restart
-	up      bool
-	thaw    time.Time     // frozen until
-	frozen  time.Duration // in all
-	pending []func()
-	timer   *timed
-}
-
-// steady is the process's clock that stands still while it is frozen.
-func (p *process) steady() time.Duration { return p.w.now.Sub(time.Unix(0, 0)) - p.frozen }
-
-// run calls f in the process's own time: at once, or when it thaws, in order; never
-// if its life has ended by then.
-func (p *process) run(life int, f func()) {
-	if !p.up || p.life != life {
+	w           *World
+	name        string
+	incarnation int // incremented when the process ends
+	up          bool
+	frozenUntil time.Time     // end of the last freeze
+	frozenTotal time.Duration // total time of all freezes, including one in progress
+	pending     []func()
+	timer       *event
+}
+
+// steadyClock returns the process's clock that stops while the process is frozen.
+func (p *process) steadyClock() time.Duration { return p.w.now.Sub(time.Unix(0, 0)) - p.frozenTotal }
+
+// run calls f in the process, at once or, in order, when it is no longer frozen. It
+// doesn't call f if the incarnation has ended by then.
+func (p *process) run(incarnation int, f func()) {
+	if !p.up || p.incarnation != incarnation {
 		return
 	}
-	if !p.w.now.Before(p.thaw) && len(p.pending) == 0 {
+	if !p.w.now.Before(p.frozenUntil) && len(p.pending) == 0 {
 		f()
 		return
 	}
 	p.pending = append(p.pending, f)
 	if len(p.pending) == 1 {
-		p.w.at(max(0, p.thaw.Sub(p.w.now)), func() { p.wake(life) })
+		p.w.schedule(max(0, p.frozenUntil.Sub(p.w.now)), func() { p.resume(incarnation) })
 	}
 }
 
-func (p *process) wake(life int) {
-	if !p.up || p.life != life {
+func (p *process) resume(incarnation int) {
+	if !p.up || p.incarnation != incarnation {
 		return
 	}
-	if p.w.now.Before(p.thaw) {
-		p.w.at(p.thaw.Sub(p.w.now), func() { p.wake(life) })
+	if p.w.now.Before(p.frozenUntil) {
+		p.w.schedule(p.frozenUntil.Sub(p.w.now), func() { p.resume(incarnation) })
 		return
 	}
 	pending := p.pending
@@ -215,25 +217,25 @@
 	}
 }
 
-// after calls f in the process's time after d, unless its life has ended.
-func (p *process) after(d time.Duration, f func()) *timed {
-	life := p.life
-	return p.w.at(d, func() { p.run(life, f) })
+// after calls f in the process after d, unless its incarnation has ended.
+func (p *process) after(d time.Duration, f func()) *event {
+	incarnation := p.incarnation
+	return p.w.schedule(d, func() { p.run(incarnation, f) })
 }
 
-func (p *process) die() {
+func (p *process) terminate() {
 	p.up = false
-	p.life++
+	p.incarnation++
 	p.pending = nil
-	p.thaw = time.Time{}
+	p.frozenUntil = time.Time{}
 }
 
-// latency of a message between processes: mostly a millisecond, now and then much
-// more.
+// latency draws the latency of a message between processes: one to two milliseconds, and
+// occasionally up to 120 ms more.
 func (w *World) latency() time.Duration {
-	d := time.Millisecond + w.upTo(time.Millisecond)
+	d := time.Millisecond + w.jitter(time.Millisecond)
 	if w.chance(0.01) {
-		d += w.upTo(120 * time.Millisecond)
+		d += w.jitter(120 * time.Millisecond)
 	}
 	return d
 }
