--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher drives the decisions of package dispatch/dispatcher: it
-// serves the agents that attach and the other entries, keeps time, and hands
-// callers' jobs in and their answers out.
+// Package dispatcher does the I/O for the state machine in package
+// dispatch/dispatcher: it serves the agents that attach and the other entries, runs
+// the timer, submits callers' jobs and returns their answers.
 package dispatcher
 
 import (
@@ -26,46 +26,47 @@
 // Errors of this package.
 var (
 	Errors = errorx.NewNamespace("node.dispatcher")
-	// ErrStart is given when an entry can't begin to serve.
+	// ErrStart is returned when an entry can't start to serve.
 	ErrStart = Errors.NewType("start")
-	// ErrLink is given to an agent whose link is refused.
+	// ErrLink is returned to an agent whose link is refused.
 	ErrLink = Errors.NewType("link")
 )
 
 // Options configure a Dispatcher.
 type Options struct {
-	// NodesListen is the address for agents and other entries, and Address where
-	// they reach it.
+	// NodesListen is the address to listen on for agents and other entries. Address is
+	// where they reach it; empty means the address of the listener.
 	NodesListen, Address string
-	// Seeds are nodes' addresses of entries, which may be stale.
+	// Seeds are the nodes' addresses of entries to start with. They may be out of date.
 	Seeds []string
 	Core  dispatcher.Options
-	// OnFrame is told of each frame that goes to an agent, OnExchange of each exchange
-	// that this entry begins; nil: nobody.
+	// OnFrame, if not nil, is called with each frame queued for an agent, and
+	// OnExchange for each exchange that this entry starts.
 	OnFrame    func(*pb.OrderFrame)
 	OnExchange func()
 	Logger     *slog.Logger
 }
 
-// Dispatcher is the part of an entry that deals with agents and other entries.
+// Dispatcher connects an entry to its agents and to other entries. It is safe for
+// concurrent use.
 type Dispatcher struct {
-	opts   Options
-	nodes  net.Listener
-	server *http.Server
-	routes atomic.Pointer[routes]
-	peers  *peers
-	wake   dispatcher.Wake
-	ctx    context.Context
-	cancel context.CancelFunc
-
-	mu      sync.Mutex // guards what follows, and serializes the core
+	opts       Options
+	nodes      net.Listener
+	server     *http.Server
+	routes     atomic.Pointer[routes]
+	peers      *peers
+	suspension dispatcher.Wake
+	ctx        context.Context
+	cancel     context.CancelFunc
+
+	mu      sync.Mutex // guards the fields below and serializes calls of core
 	core    *dispatcher.Dispatcher
 	links   map[string]*link // by agent incarnation
 	callers map[uint64][]chan dispatcher.Answer
 	timer   *rpc.Timer
 }
 
-// New binds the nodes' port.
+// New returns a Dispatcher that listens on o.NodesListen. Serve starts it.
 func New(o Options) (*Dispatcher, error) {
 	if o.OnFrame == nil {
 		o.OnFrame = func(*pb.OrderFrame) {}
@@ -95,7 +96,7 @@
 	return d, nil
 }
 
-// Address is where agents and other entries reach this one.
+// Address returns the address at which agents and other entries reach this one.
 func (d *Dispatcher) Address() string { return d.opts.Address }
 
 // Serve serves agents and entries until Close.
@@ -107,10 +108,11 @@
 	return nil
 }
 
-// Close ends all links. Agents are told first that nobody waits for their runs.
+// Close closes all links. It first notifies the agents that the results of their runs are
+// no longer needed.
 func (d *Dispatcher) Close() {
 	d.decide(func(time.Time) { d.core.End() })
-	time.Sleep(lastWord)
+	time.Sleep(finalFrameTime)
 	d.cancel()
 	_ = d.server.Close()
 	d.mu.Lock()
@@ -118,10 +120,10 @@
 	d.timer.Stop()
 }
 
-// lastWord is how long the last frames get to leave the process.
-const lastWord = 20 * time.Millisecond
+// finalFrameTime is the time for the last frames to be sent before the process ends.
+const finalFrameTime = 20 * time.Millisecond
 
-// decide runs one input of the core and carries out what it asks for.
+// decide applies one input to the core and executes the actions that the core returns.
 func (d *Dispatcher) decide(input func(now time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,11 +153,11 @@
 	d.timer.Set(now, d.core.Next())
 }
 
-// Submit takes in a job and waits for its answer. False: the caller left before.
-// A job that is here already, sent again over another connection, gets the same
-// answer; it goes on until none of its callers waits.
+// Submit submits a job and waits for its answer. It returns false if ctx ends first. A job
+// that is already present, resent over another connection, gets the same answer; it
+// continues until none of its callers waits.
 func (d *Dispatcher) Submit(ctx context.Context, j dispatcher.Job) (dispatcher.Answer, bool) {
-	if !d.holdAfterWake(ctx) {
+	if !d.holdAfterSuspension(ctx) {
 		return dispatcher.Answer{}, false
 	}
 	var number uint64
@@ -175,9 +177,9 @@
 	case <-ctx.Done():
 	}
 	d.decide(func(now time.Time) {
-		left := slices.DeleteFunc(d.callers[number], func(x chan dispatcher.Answer) bool { return x == c })
-		if len(left) > 0 {
-			d.callers[number] = left
+		remaining := slices.DeleteFunc(d.callers[number], func(x chan dispatcher.Answer) bool { return x == c })
+		if len(remaining) > 0 {
+			d.callers[number] = remaining
 			return
 		}
 		delete(d.callers, number)
@@ -186,10 +188,10 @@
 	return dispatcher.Answer{}, false
 }
 
-// holdAfterWake lets a request wait when the process was suspended just before. It
-// returns false when the caller has left.
-func (d *Dispatcher) holdAfterWake(ctx context.Context) bool {
-	hold := d.wake.Hold(clock.Now(), clock.Steady())
+// holdAfterSuspension delays a request if the process was suspended just before. It
+// returns false if the caller disconnects meanwhile.
+func (d *Dispatcher) holdAfterSuspension(ctx context.Context) bool {
+	hold := d.suspension.Hold(clock.Now(), clock.Steady())
 	if hold == 0 {
 		return true
 	}
@@ -202,52 +204,53 @@
 	}
 }
 
-// Open is the number of jobs without an answer.
+// Open returns the number of jobs without an answer.
 func (d *Dispatcher) Open() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Open()
 }
 
-// State says whether a job is here, and whether it has started.
+// State reports whether this entry holds a job, and whether the job has started.
 func (d *Dispatcher) State(queue, id string) (known, started bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.State(queue, id)
 }
 
-// Cancel ends a job here or at another entry. False: none of those that answer
-// knows it.
+// Cancel cancels a job at this entry or at another one. It returns false if none of the
+// entries that respond knows the job.
 func (d *Dispatcher) Cancel(ctx context.Context, queue, id string) bool {
-	return d.cancelHere(queue, id) || d.peers.cancel(ctx, queue, id)
+	return d.cancelLocal(queue, id) || d.peers.cancel(ctx, queue, id)
 }
 
-func (d *Dispatcher) cancelHere(queue, id string) (known bool) {
+func (d *Dispatcher) cancelLocal(queue, id string) (known bool) {
 	d.decide(func(now time.Time) { known = d.core.Cancel(now, queue, id) })
 	return known
 }
 
-// Waiting counts a queue's jobs of which nothing has started: those here, and those that
-// have waited at other entries for a while; see package tally.
+// Waiting returns the number of a queue's jobs of which nothing has started: those at this
+// entry, and those that have waited for a minimum time at other entries; see package
+// tally.
 func (d *Dispatcher) Waiting(queue string) int {
-	return d.waitingHere(0)[queue] + d.peers.waiting(queue)
+	return d.waitingLocal(0)[queue] + d.peers.waiting(queue)
 }
 
-func (d *Dispatcher) waitingHere(since time.Duration) map[string]int {
+func (d *Dispatcher) waitingLocal(since time.Duration) map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Waiting(clock.Now(), since)
 }
 
-// Links is the number of agents with a link.
+// Links returns the number of agents with a link.
 func (d *Dispatcher) Links() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Links()
 }
 
-// SetConfiguration takes in a version of the configuration, and passes it on to
-// the other entries when it is newer than the one in force.
+// SetConfiguration applies a configuration if it is newer than the one in force, and
+// forwards it to the other entries then. It reports whether it was newer.
 func (d *Dispatcher) SetConfiguration(c *pb.Configuration) bool {
 	newer := false
 	d.decide(func(time.Time) {
@@ -261,8 +264,8 @@
 	return newer
 }
 
-// SetEvacuations takes in which failure domains are evacuated, and passes it on to the
-// other entries when they have changed.
+// SetEvacuations applies a list of evacuated failure domains, and forwards it to the other
+// entries if it changes the current one.
 func (d *Dispatcher) SetEvacuations(m *pb.Evacuations) {
 	changed := false
 	d.decide(func(now time.Time) { changed = d.core.SetEvacuations(now, m) })
@@ -271,44 +274,45 @@
 	}
 }
 
-// Evacuations are the failure domains known to be evacuated; nil: none was heard of.
+// Evacuations returns the failure domains known to be evacuated, nil if no list has been
+// received.
 func (d *Dispatcher) Evacuations() *pb.Evacuations {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Evacuations()
 }
 
-// Configuration in force; nil before the first.
+// Configuration returns the configuration in force, nil before the first.
 func (d *Dispatcher) Configuration() *pb.Configuration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Configuration()
 }
 
-// Find returns the queue of a host and path, the rest of the path behind its
-// prefix, and the version of the configuration. Nil: there is none.
+// Find returns the queue for a host and path, the rest of the path after the queue's
+// prefix, and the version of the configuration. The queue is nil if none matches.
 func (d *Dispatcher) Find(host, path string) (q *pb.Queue, rest string, version uint64) {
 	return d.routes.Load().find(host, path)
 }
 
-// Configured reports whether there is a configuration.
+// Configured reports whether a configuration is in force.
 func (d *Dispatcher) Configured() bool { return d.routes.Load().version > 0 }
 
-// Limits of callers' requests; nil before the first configuration.
+// Limits returns the limits of callers' requests, nil before the first configuration.
 func (d *Dispatcher) Limits() *pb.Limits { return d.routes.Load().limits }
 
-// Entries are the addresses of the entries known to live, this one included.
-func (d *Dispatcher) Entries() []string { return d.peers.living() }
+// Entries returns the addresses of the entries known to be alive, including this one.
+func (d *Dispatcher) Entries() []string { return d.peers.alive() }
 
-// Leave tells the other entries that this one is shutting down, and ends what it
-// can't end in time a little before the given time is over.
-func (d *Dispatcher) Leave(in time.Duration) {
+// Leave notifies the other entries that this one shuts down after the given time. Jobs that
+// can't complete by then are answered shortly before.
+func (d *Dispatcher) Leave(timeout time.Duration) {
 	d.peers.leave()
-	d.decide(func(now time.Time) { d.core.Leave(now, now.Add(in-lastAnswers)) })
+	d.decide(func(now time.Time) { d.core.Leave(now, now.Add(timeout-finalAnswerTime)) })
 }
 
-// lastAnswers is how long the last answers get to leave the process.
-const lastAnswers = 100 * time.Millisecond
+// finalAnswerTime is the time for the last answers to be sent before the process ends.
+const finalAnswerTime = 100 * time.Millisecond
 
-// Learn takes in addresses of entries found elsewhere.
-func (d *Dispatcher) Learn(addresses []string) { d.peers.learn(addresses) }
+// Learn adds addresses of entries that were found by other means.
+func (d *Dispatcher) Learn(addresses []string) { d.peers.addCandidates(addresses) }
--- a/node/dispatcher/exchange.go
+++ b/node/dispatcher/exchange.go
@@ -12,49 +12,52 @@
 	"github.com/papayahoist/papayahoist/node/clock"
 )
 
-// What entries tell each other must not grow with their number, so it is kept small: an
-// entry exchanges with its partners only (package gossip); one exchange for each pair,
-// whichever of the two begins it; what is known of the entries only where the two differ;
-// the configuration only to those that lack it.
+// The traffic of an entry must not grow with the number of entries. An entry therefore
+// exchanges only with its partners (package gossip), once for each pair, whichever of the
+// two starts it. Records of entries are sent only if the two views differ, and the
+// configuration only to those that lack it.
 const (
-	// shareEvery is the time between two exchanges of a pair.
-	shareEvery = 500 * time.Millisecond
-	// sharesPerSecond bounds the exchanges that one entry takes part in, while
-	// maxShareEvery allows: each takes a few tenths of a millisecond.
-	sharesPerSecond = 12
-	// maxShareEvery is below the time after which an entry counts as lost.
-	maxShareEvery = gossip.LostAfter / 2
-	// secondPart is how much later the entry with the higher address begins the
-	// exchange, if the other one has not.
-	secondPart = 1.5
-	// shareTimeout is a few round trips of the slowest link to another entry; a
-	// connection that has gone silent is given up after it.
-	shareTimeout = 400 * time.Millisecond
-	// pushAfter is when an entry that has a new configuration tells those not known to
-	// have it; up to as long again is added. The store tells each of them sooner.
-	pushAfter = 100 * time.Millisecond
+	// exchangeInterval is the shortest time between two exchanges of a pair.
+	exchangeInterval = 500 * time.Millisecond
+	// maxExchangesPerSecond bounds the exchanges that an entry takes part in, as far as
+	// maxExchangeInterval allows: each takes a few tenths of a millisecond.
+	maxExchangesPerSecond = 12
+	// maxExchangeInterval is below the time after which an entry counts as lost.
+	maxExchangeInterval = gossip.LostAfter / 2
+	// fallbackFactor multiplies the interval at the entry with the higher address, which
+	// starts the exchange only if the other one has not.
+	fallbackFactor = 1.5
+	// exchangeTimeout is a few round trips of the slowest link to another entry. An
+	// unresponsive connection is abandoned after it.
+	exchangeTimeout = 400 * time.Millisecond
+	// pushDelay is the time after which an entry sends a new configuration to those not
+	// known to have it, plus jitter of up to the same time. Usually the store notifies
+	// them sooner.
+	pushDelay = 100 * time.Millisecond
 )
 
-// sharePeriod is the time between two exchanges with each of so many partners.
-func sharePeriod(partners int) time.Duration {
-	wanted := time.Duration(float64(partners) / sharesPerSecond * float64(time.Second))
-	return min(max(wanted, shareEvery), maxShareEvery)
+// exchangePeriod returns the time between two exchanges with each of the given number of
+// partners.
+func exchangePeriod(partners int) time.Duration {
+	wanted := time.Duration(float64(partners) / maxExchangesPerSecond * float64(time.Second))
+	return min(max(wanted, exchangeInterval), maxExchangeInterval)
 }
 
-// untilShare is how long this entry leaves it to the other to begin the next
-// exchange, when the last one was so long ago.
-func untilShare(period, ago time.Duration, own, other string) time.Duration {
+// untilExchange returns how long this entry still waits for the other one to start the
+// next exchange. The last one was the time ago before now.
+func untilExchange(period, ago time.Duration, own, other string) time.Duration {
 	if own > other {
-		period = time.Duration(secondPart * float64(period))
+		period = time.Duration(fallbackFactor * float64(period))
 	}
 	return period - ago
 }
 
-// exchange talks to one entry, while it is a partner, until it is forgotten.
-func (p *peers) exchange(ctx context.Context, x *peer) {
+// exchangeLoop exchanges with another entry while that is a partner, until it is
+// forgotten.
+func (p *peers) exchangeLoop(ctx context.Context, x *peer) {
 	defer x.http.CloseIdleConnections()
 	for ctx.Err() == nil && !p.forget(x) {
-		period, wait, partner := p.untilShare(x)
+		period, wait, partner := p.nextExchange(x)
 		if !partner {
 			x.http.CloseIdleConnections()
 			select {
@@ -64,72 +67,74 @@
 			continue
 		}
 		if wait <= 0 {
-			p.share(ctx, x)
+			p.exchange(ctx, x)
 			wait = period
 		}
 		select {
 		case <-time.After(wait):
 		case <-x.wake:
-			if p.behind(x) {
-				p.share(ctx, x)
+			if p.needsUpdate(x) {
+				p.exchange(ctx, x)
 			}
 		case <-ctx.Done():
 		}
 	}
 }
 
-// untilShare is the time between two exchanges with an entry, and until the next one.
-func (p *peers) untilShare(x *peer) (period, wait time.Duration, partner bool) {
+// nextExchange returns the time between two exchanges with an entry, and the time until
+// the next one. Partner is false if the entry isn't one.
+func (p *peers) nextExchange(x *peer) (period, wait time.Duration, partner bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.view.Partner(x.address) {
 		return 0, 0, false
 	}
-	period = sharePeriod(p.view.Partners())
-	if x.heard.IsZero() {
+	period = exchangePeriod(p.view.Partners())
+	if x.lastReceived.IsZero() {
 		return period, 0, true
 	}
-	return period, untilShare(period, clock.Now().Sub(x.heard), p.d.opts.Address, x.address), true
+	return period, untilExchange(period, clock.Now().Sub(x.lastReceived), p.d.opts.Address, x.address), true
 }
 
-// behind reports whether another entry is not known to have what this one has.
-func (p *peers) behind(x *peer) bool {
-	own := p.inForce()
+// needsUpdate reports whether another entry may lack the current state of this one.
+func (p *peers) needsUpdate(x *peer) bool {
+	own := p.revisions()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return own.newerThan(x) || p.leaving || x.heard.IsZero() || p.tallyNewFor(x)
+	return own.newerThan(x) || p.leaving || x.lastReceived.IsZero() || p.needsTally(x)
 }
 
-// inForce is what this entry goes by, of all that operators write.
-type inForce struct{ version, evacuations uint64 }
+// revisions are those of the operators' settings in force at this entry.
+type revisions struct{ version, evacuations uint64 }
 
-func (p *peers) inForce() inForce {
-	return inForce{p.d.Configuration().GetVersion(), p.d.Evacuations().GetRevision()}
+func (p *peers) revisions() revisions {
+	return revisions{p.d.Configuration().GetVersion(), p.d.Evacuations().GetRevision()}
 }
 
-func (f inForce) newerThan(x *peer) bool {
-	return x.version < f.version || x.evacuations < f.evacuations
+func (r revisions) newerThan(x *peer) bool {
+	return x.version < r.version || x.evacuations < r.evacuations
 }
 
-// share makes one exchange, and a second one when the other shows that it lacks the
-// configuration in force here.
-func (p *peers) share(ctx context.Context, x *peer) {
-	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
+// exchange performs one exchange, and a second one if the other entry's response shows
+// that it lacks the configuration in force here.
+func (p *peers) exchange(ctx context.Context, x *peer) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	theirs, ok := p.shareOnce(ctx, x, false)
+	theirs, ok := p.exchangeOnce(ctx, x, false)
 	if ok && theirs < p.d.Configuration().GetVersion() {
-		p.shareOnce(ctx, x, true)
+		p.exchangeOnce(ctx, x, true)
 	}
 }
 
-// request is what this entry tells another one.
-func (p *peers) request(x *peer, whole bool) *pb.ShareRequest {
+// request returns the state that this entry sends to another one, with the configuration
+// if withConfiguration is set.
+func (p *peers) request(x *peer, withConfiguration bool) *pb.ShareRequest {
 	c := p.d.Configuration()
 	req := &pb.ShareRequest{
 		Entry: p.d.opts.Core.Entry, Incarnation: p.d.opts.Core.Incarnation, Address: p.d.opts.Address, Version: c.GetVersion(),
 		Evacuations: p.d.Evacuations(),
 	}
-	if whole {
+	if withConfiguration {
 		req.Configuration = c
 	}
 	p.mu.Lock()
@@ -142,18 +147,19 @@
 	return req
 }
 
-// shareOnce returns which version of the configuration the other goes by.
-func (p *peers) shareOnce(ctx context.Context, x *peer, whole bool) (theirs uint64, ok bool) {
+// exchangeOnce returns the version of the configuration in force at the other entry.
+func (p *peers) exchangeOnce(ctx context.Context, x *peer, withConfiguration bool) (theirs uint64, ok bool) {
 	p.d.opts.OnExchange()
-	resp, err := x.client.Share(ctx, connect.NewRequest(p.request(x, whole)))
+	resp, err := x.client.Share(ctx, connect.NewRequest(p.request(x, withConfiguration)))
 	if err != nil {
-		// The connection may have gone silent: the next exchange takes a new one.
+		// The connection may be unresponsive: the next exchange opens a new one.
 		x.http.CloseIdleConnections()
 		return 0, false
 	}
 	m := resp.Msg
-	p.heard(x, told{m.Incarnation, m.Version, m.EntriesDigest, m.Entries, m.Records, m.Evacuations.GetRevision()})
-	// Before a configuration that comes with it: an entry that takes jobs knows both.
+	p.received(x, peerState{m.Incarnation, m.Version, m.EntriesDigest, m.Entries, m.Records, m.Evacuations.GetRevision()})
+	// Precedes the configuration of the same message: an entry that admits jobs must
+	// have both.
 	p.d.SetEvacuations(m.Evacuations)
 	p.mergeWaiting(m.WaitingRecords)
 	if m.Configuration != nil {
@@ -162,36 +168,36 @@
 	return m.Version, true
 }
 
-// told is what an entry says of itself and others in an exchange.
-type told struct {
+// peerState is the state that another entry sends in an exchange.
+type peerState struct {
 	incarnation string
 	version     uint64
 	digest      uint64
 	entries     []string
 	records     []*pb.EntryRecord
-	evacuations uint64 // their revision
+	evacuations uint64 // revision
 }
 
-func (p *peers) heard(x *peer, t told) {
-	p.do(func(now time.Time) {
-		if !p.view.Lives(x.address) || x.incarnation != t.incarnation {
-			p.d.opts.Logger.Info("entry_found", "entry", x.address, "incarnation", t.incarnation, "version", t.version)
+func (p *peers) received(x *peer, s peerState) {
+	p.updateView(func(now time.Time) {
+		if !p.view.Lives(x.address) || x.incarnation != s.incarnation {
+			p.d.opts.Logger.Info("entry_found", "entry", x.address, "incarnation", s.incarnation, "version", s.version)
 		}
-		x.incarnation, x.heard, x.digest = t.incarnation, now, t.digest
-		x.version, x.evacuations = t.version, t.evacuations
+		x.incarnation, x.lastReceived, x.digest = s.incarnation, now, s.digest
+		x.version, x.evacuations = s.version, s.evacuations
 		p.view.Heard(now, x.address)
-		if len(t.records) == 0 {
-			// An entry of an earlier version tells addresses only.
-			p.view.Learn(now, t.entries)
-			for _, a := range t.entries {
-				p.add(a)
+		if len(s.records) == 0 {
+			// An entry of an earlier version sends addresses only.
+			p.view.Learn(now, s.entries)
+			for _, a := range s.entries {
+				p.addPeer(a)
 			}
 		}
-		p.view.Merge(now, fromMessages(t.records))
+		p.view.Merge(now, recordsFromMessages(s.records))
 	})
 }
 
-// records are the view's, as a message. The lock is held.
+// records returns the records of the view as messages. The caller holds p.mu.
 func (p *peers) records() []*pb.EntryRecord {
 	var out []*pb.EntryRecord
 	for _, r := range p.view.Records() {
@@ -200,7 +206,7 @@
 	return out
 }
 
-func fromMessages(records []*pb.EntryRecord) []gossip.Record {
+func recordsFromMessages(records []*pb.EntryRecord) []gossip.Record {
 	var out []gossip.Record
 	for _, r := range records {
 		out = append(out, gossip.Record{Address: r.Address, Generation: r.Generation, Lost: r.Lost})
@@ -208,19 +214,19 @@
 	return out
 }
 
-// serve answers another entry's exchange.
+// serve handles an exchange that another entry has started.
 func (p *peers) serve(req *pb.ShareRequest) *pb.ShareResponse {
 	p.d.SetEvacuations(req.Evacuations)
 	p.mergeWaiting(req.WaitingRecords)
 	if req.Configuration != nil {
 		p.d.SetConfiguration(req.Configuration)
 	}
-	p.learn([]string{req.Address})
+	p.addCandidates([]string{req.Address})
 	p.mu.Lock()
 	x := p.all[req.Address]
 	p.mu.Unlock()
 	if x != nil {
-		p.heard(x, told{req.Incarnation, req.Version, req.EntriesDigest, req.Entries, req.Records, req.Evacuations.GetRevision()})
+		p.received(x, peerState{req.Incarnation, req.Version, req.EntriesDigest, req.Entries, req.Records, req.Evacuations.GetRevision()})
 	}
 	c := p.d.Configuration()
 	resp := &pb.ShareResponse{
@@ -243,8 +249,8 @@
 	return resp
 }
 
-// push brings what operators have changed, and counts of waiting jobs, to partners not known
-// to have them; from these it goes on to theirs.
+// push sends changed settings of operators and counts of waiting jobs to the partners not
+// known to have them, after pushDelay. They forward them to their partners.
 func (p *peers) push() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,20 +258,20 @@
 		return
 	}
 	p.pushing = true
-	time.AfterFunc(pushAfter+rand.N(pushAfter), func() {
+	time.AfterFunc(pushDelay+rand.N(pushDelay), func() {
 		p.mu.Lock()
 		p.pushing = false
 		p.mu.Unlock()
-		own := p.inForce()
-		p.wakePartners(func(x *peer) bool { return own.newerThan(x) || p.tallyNewFor(x) })
+		own := p.revisions()
+		p.wakePartners(func(x *peer) bool { return own.newerThan(x) || p.needsTally(x) })
 	})
 }
 
-// tallyNewFor reports whether another entry has not been told the counts that this one
-// holds. The lock is held.
-func (p *peers) tallyNewFor(x *peer) bool { return x.tally != p.tally.Changes() }
+// needsTally reports whether another entry has not been sent the current counts of waiting
+// jobs. The caller holds p.mu.
+func (p *peers) needsTally(x *peer) bool { return x.tally != p.tally.Changes() }
 
-// wakePartners exchanges at once with those chosen.
+// wakePartners starts exchanges at once with the partners for which chosen returns true.
 func (p *peers) wakePartners(chosen func(x *peer) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/dispatcher/exchange_test.go
+++ b/node/dispatcher/exchange_test.go
@@ -30,48 +30,47 @@
 	return d
 }
 
-// Among seventy entries, an exchange of every pair from both sides each half second
-// took more of an entry's processor and network than its work. An entry takes part in
-// few a second, with each of its partners at least once in the time after which it counts
-// as lost.
-func TestExchangesAreSeldomAmongMany(t *testing.T) {
+// With seventy entries, exchanges of all pairs from both sides every half second took more
+// CPU time and network traffic than the entries' work. The rate of exchanges must stay
+// low, but partners must exchange before they count each other as lost.
+func TestExchangePeriodGrowsWithPartners(t *testing.T) {
 	for _, c := range []struct {
 		partners int
 		want     time.Duration
-	}{{2, shareEvery}, {6, shareEvery}, {9, 750 * time.Millisecond}, {12, maxShareEvery}, {69, maxShareEvery}} {
-		if got := sharePeriod(c.partners); got != c.want {
+	}{{2, exchangeInterval}, {6, exchangeInterval}, {9, 750 * time.Millisecond}, {12, maxExchangeInterval}, {69, maxExchangeInterval}} {
+		if got := exchangePeriod(c.partners); got != c.want {
 			t.Errorf("%d partners: each %v, want %v", c.partners, got, c.want)
 		}
 	}
 }
 
-// Both of a pair keep the same period. If both began the next exchange when it is
-// over, there would be two for one.
-func TestOneOfAPairBeginsTheExchange(t *testing.T) {
+// Both entries of a pair have the same period. If both started the next exchange at its
+// end, there would be two exchanges instead of one.
+func TestOneOfAPairStartsTheExchange(t *testing.T) {
 	const period = time.Second
-	first, second := untilShare(period, 0, "a", "b"), untilShare(period, 0, "b", "a")
-	if first != period || second <= first || second >= gossip.LostAfter-shareTimeout {
-		t.Errorf("begin after %v and %v; want one after %v, and the other later, but before it takes the first for lost", first, second, period)
+	first, second := untilExchange(period, 0, "a", "b"), untilExchange(period, 0, "b", "a")
+	if first != period || second <= first || second >= gossip.LostAfter-exchangeTimeout {
+		t.Errorf("exchanges start after %v and %v; want the first after %v, and the second later, but before the first entry counts as lost", first, second, period)
 	}
-	if left := untilShare(period, 1200*time.Millisecond, "b", "a"); left >= second || left <= 0 {
-		t.Errorf("left %v", left)
+	if left := untilExchange(period, 1200*time.Millisecond, "b", "a"); left >= second || left <= 0 {
+		t.Errorf("%v left until the exchange", left)
 	}
 }
 
-// The list of entries goes out only where the two differ.
-func TestListOfEntriesOnlyWhereItDiffers(t *testing.T) {
+// The records of entries are sent only if the two views differ.
+func TestRecordsAreSentOnlyIfTheyDiffer(t *testing.T) {
 	d := newTestDispatcher(t)
 	if got := d.peers.serve(&pb.ShareRequest{EntriesDigest: d.peers.view.Digest()}); len(got.Records) > 0 {
-		t.Errorf("told %v to one that knows them", got.Records)
+		t.Errorf("sent %v to an entry that has them", got.Records)
 	}
 	if got := d.peers.serve(&pb.ShareRequest{EntriesDigest: 1}); len(got.Records) != 1 {
-		t.Errorf("told %v to one that doesn't know them", got.Records)
+		t.Errorf("sent %v to an entry that lacks a record, want one record", got.Records)
 	}
 }
 
-// The store turns one entry away. It must get a new configuration from an entry that
-// has it, and not from each of them.
-func TestConfigurationComesFromAnotherEntry(t *testing.T) {
+// One entry can't reach the store. It must receive a new configuration from an entry that
+// has it, and not again once it has it.
+func TestConfigurationIsReceivedFromAnotherEntry(t *testing.T) {
 	one := newTestDispatcher(t)
 	two := newTestDispatcher(t, one.Address())
 	for len(one.Entries()) < 2 || len(two.Entries()) < 2 {
@@ -82,17 +81,17 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if resp := one.peers.serve(&pb.ShareRequest{Address: two.Address(), Version: 7}); resp.Configuration != nil {
-		t.Error("the whole configuration went to an entry that has it")
+		t.Error("the configuration was sent to an entry that has it")
 	}
 	if resp := one.peers.serve(&pb.ShareRequest{Address: two.Address(), Version: 6}); resp.Configuration == nil {
-		t.Error("an entry that lacks the configuration didn't get it")
+		t.Error("the configuration was not sent to an entry that lacks it")
 	}
 }
 
-// The store turns one entry away while a failure domain is evacuated, and while it is
-// restored. It must hear of both from an entry that the store serves, before it lets that
-// entry's configuration send callers to it.
-func TestEvacuationsComeFromAnotherEntry(t *testing.T) {
+// One entry can't reach the store while a failure domain is evacuated and restored. It must
+// receive both changes from an entry that can, before a configuration from that entry lets
+// it admit jobs. A message that holds a configuration must not bring back an older list.
+func TestEvacuationsAreReceivedFromAnotherEntry(t *testing.T) {
 	one := newTestDispatcher(t)
 	two := newTestDispatcher(t, one.Address())
 	for len(one.Entries()) < 2 || len(two.Entries()) < 2 {
@@ -107,14 +106,14 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if resp := one.peers.serve(&pb.ShareRequest{Version: 9, Configuration: &pb.Configuration{Version: 9}, Evacuations: &pb.Evacuations{Revision: 7, Domains: []string{"hall"}}}); len(resp.Evacuations.GetDomains()) != 0 {
-		t.Errorf("goes by %v, which is older", resp.Evacuations)
+		t.Errorf("evacuations %v in force, which are older", resp.Evacuations)
 	}
 }
 
-// A caller asks one entry how many jobs of a queue wait. Those that wait at other entries
-// count, also at one that this entry doesn't exchange with, and the entry that is asked asks
-// nobody: in a fleet each question would cost a call to every entry.
-func TestWaitingCountsOtherEntries(t *testing.T) {
+// A caller asks one entry for the number of waiting jobs of a queue. Jobs that wait at other
+// entries count, including those that aren't partners. The entry answers without calls to
+// others: in a fleet each request would cost a call to every entry.
+func TestWaitingIncludesOtherEntries(t *testing.T) {
 	const entries = 16
 	all := []*Dispatcher{newTestDispatcher(t)}
 	for len(all) < entries {
@@ -126,18 +125,18 @@
 		}
 	}
 	one := all[0]
-	far := slices.IndexFunc(all, func(d *Dispatcher) bool { return d != one && !one.peers.partner(one.peers.all[d.Address()]) })
-	if far < 0 {
-		t.Fatal("every entry is a partner")
+	nonPartner := slices.IndexFunc(all, func(d *Dispatcher) bool { return d != one && !one.peers.isPartner(one.peers.all[d.Address()]) })
+	if nonPartner < 0 {
+		t.Fatal("all entries are partners")
 	}
-	all[far].decide(func(now time.Time) {
-		all[far].core.Submit(now, dispatcher.Job{ID: "1", Queue: &pb.Queue{Name: "q", Service: "s", TargetMs: 5000}, Steps: []dispatcher.Step{{Count: 1}}})
+	all[nonPartner].decide(func(now time.Time) {
+		all[nonPartner].core.Submit(now, dispatcher.Job{ID: "1", Queue: &pb.Queue{Name: "q", Service: "s", TargetMs: 5000}, Steps: []dispatcher.Step{{Count: 1}}})
 	})
-	if got := all[far].Waiting("q"); got != 1 {
-		t.Fatalf("%d jobs wait at the entry that has one", got)
+	if got := all[nonPartner].Waiting("q"); got != 1 {
+		t.Fatalf("%d jobs waiting at the entry that holds one", got)
 	}
 	for one.Waiting("q") != 3 {
-		all[far].peers.countWaiting(map[string]int{"q": 3}) // as when they had waited for a while
+		all[nonPartner].peers.countWaiting(map[string]int{"q": 3}) // as if they had waited for the minimum time
 		time.Sleep(5 * time.Millisecond)
 	}
 }
--- a/node/dispatcher/links.go
+++ b/node/dispatcher/links.go
@@ -27,7 +27,7 @@
 
 type linkStream = connect.BidiStream[pb.WorkerFrame, pb.OrderFrame]
 
-// Attach serves one agent's link until it ends.
+// Attach serves an agent's link until it ends.
 func (s *service) Attach(ctx context.Context, stream *linkStream) error {
 	d := s.d
 	first, err := stream.Receive()
@@ -36,7 +36,7 @@
 	}
 	g := first.GetHello()
 	if g.GetIncarnation() == "" {
-		return connect.NewError(connect.CodeInvalidArgument, ErrLink.New("the first frame has no greeting"))
+		return connect.NewError(connect.CodeInvalidArgument, ErrLink.New("the first frame has no hello"))
 	}
 	ctx, end := context.WithCancel(ctx)
 	defer end()
@@ -85,21 +85,21 @@
 	}
 }
 
-// Share serves another entry's exchange.
+// Share handles an exchange that another entry has started.
 func (s *service) Share(_ context.Context, req *connect.Request[pb.ShareRequest]) (*connect.Response[pb.ShareResponse], error) {
 	return connect.NewResponse(s.d.peers.serve(req.Msg)), nil
 }
 
-// Invite has agents of this entry link to another one.
+// Invite invites agents of this entry to link to another one.
 func (s *service) Invite(_ context.Context, req *connect.Request[pb.InviteRequest]) (*connect.Response[pb.InviteResponse], error) {
 	m := req.Msg
-	w := dispatcher.Want{Service: m.Service, Size: size.Of(m.Size), Label: m.Label, Agents: int(min(m.Agents, maxInvited))}
+	w := dispatcher.Want{Service: m.Service, Size: size.Of(m.Size), Label: m.Label, Agents: int(min(m.Agents, maxInvitedAgents))}
 	invited := 0
 	s.d.decide(func(now time.Time) { invited = s.d.core.Invite(now, m.Address, w) })
 	return connect.NewResponse(&pb.InviteResponse{Agents: uint32(invited)}), nil
 }
 
-// Cancel ends a job that another entry's caller has given up.
+// Cancel cancels a job on behalf of a caller of another entry.
 func (s *service) Cancel(_ context.Context, req *connect.Request[pb.CancelRequest]) (*connect.Response[pb.CancelResponse], error) {
-	return connect.NewResponse(&pb.CancelResponse{Known: s.d.cancelHere(req.Msg.Queue, req.Msg.Job)}), nil
+	return connect.NewResponse(&pb.CancelResponse{Known: s.d.cancelLocal(req.Msg.Queue, req.Msg.Job)}), nil
 }
--- a/node/dispatcher/peers.go
+++ b/node/dispatcher/peers.go
@@ -18,91 +18,92 @@
 )
 
 const (
-	// viewEvery is how often the view of the entries takes in the passing of time.
-	viewEvery = 500 * time.Millisecond
-	// tellAfter gathers changes of the living entries before agents are told: after a
-	// start of all machines many come within a moment, and each telling goes to every
-	// agent.
-	tellAfter = 50 * time.Millisecond
+	// viewInterval is the time between two ticks of the view of the entries.
+	viewInterval = 500 * time.Millisecond
+	// notifyDelay batches changes of the live entries before agents are notified: when
+	// all machines start, many changes arrive within a short time, and each notification
+	// goes to every agent.
+	notifyDelay = 50 * time.Millisecond
 )
 
-// peer is another entry, by its address.
+// peer is another entry, identified by its address.
 type peer struct {
 	address string
 	client  papayahoistv1connect.WorkServiceClient
 	http    *http.Client
 	wake    chan struct{}
 
-	incarnation string
-	heard       time.Time
-	digest      uint64 // of the living entries that it has told
-	version     uint64 // of the configuration in force there
-	evacuations uint64 // revision of the evacuations known there
-	tally       uint64 // changes of the tally that it was told
+	incarnation  string
+	lastReceived time.Time
+	digest       uint64 // of the live entries, as it sent it last
+	version      uint64 // of the configuration in force there
+	evacuations  uint64 // revision of the evacuations known there
+	tally        uint64 // tally.View.Changes when it was last sent the tally
 }
 
-// peers keeps the other entries. With its partners among them this one exchanges what
-// each knows: the configuration in force, and the entries that live. An entry that the
-// platform's store turns away keeps up this way.
+// peers holds the other entries. With its partners among them, this entry exchanges the
+// configuration in force, the evacuations, the live entries and the counts of waiting
+// jobs. An entry that can't reach the platform's store stays up to date this way.
 type peers struct {
 	d       *Dispatcher
 	ctx     context.Context
 	changed chan struct{} // the view may have changed
 
-	mu      sync.Mutex
-	all     map[string]*peer
-	view    *gossip.View
-	changes uint64 // of the view, as taken in
-	leaving bool
-	told    []string // the living, as agents were last told
-	tally   *tally.View
-	pushing bool // partners will be told in a moment
+	mu          sync.Mutex
+	all         map[string]*peer
+	view        *gossip.View
+	viewVersion uint64 // view.Changes at the last update
+	leaving     bool
+	notified    []string // the live entries of which agents were last notified
+	tally       *tally.View
+	pushing     bool // a push to partners is scheduled
 }
 
 func newPeers(d *Dispatcher) *peers {
 	fixed := slices.DeleteFunc(slices.Clone(d.opts.Seeds), func(a string) bool { return a == d.opts.Address })
-	begun := uint64(time.Now().UnixMilli())
+	startMs := uint64(time.Now().UnixMilli())
 	return &peers{
 		d: d, changed: make(chan struct{}, 1), all: make(map[string]*peer),
-		view: gossip.New(d.opts.Address, begun, fixed), tally: tally.New(d.opts.Address, begun),
+		view: gossip.New(d.opts.Address, startMs, fixed), tally: tally.New(d.opts.Address, startMs),
 	}
 }
 
-// run learns the seeds and keeps the living entries told until the context ends.
+// run adds the seeds, and updates the view and notifies agents of it until the context
+// ends.
 func (p *peers) run(ctx context.Context) {
 	p.mu.Lock()
 	p.ctx = ctx
 	p.mu.Unlock()
-	p.learn(p.d.opts.Seeds)
-	t := time.NewTicker(viewEvery)
+	p.addCandidates(p.d.opts.Seeds)
+	t := time.NewTicker(viewInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
-		p.tell()
+		p.notifyAgents()
 		select {
 		case <-p.changed:
-			time.Sleep(tellAfter)
+			time.Sleep(notifyDelay)
 		case <-t.C:
-			p.do(func(now time.Time) { p.view.Tick(now) })
-			p.countWaiting(p.d.waitingHere(tally.SettleFor))
+			p.updateView(func(now time.Time) { p.view.Tick(now) })
+			p.countWaiting(p.d.waitingLocal(tally.SettleFor))
 		case <-ctx.Done():
 		}
 	}
 }
 
-// do lets f change the view, and takes in what has changed.
-func (p *peers) do(f func(now time.Time)) {
+// updateView calls f, which may change the view, and applies the changes.
+func (p *peers) updateView(f func(now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(clock.Now())
-	if p.changes == p.view.Changes() {
+	if p.viewVersion == p.view.Changes() {
 		return
 	}
-	p.changes = p.view.Changes()
+	p.viewVersion = p.view.Changes()
 	for _, a := range p.view.Living() {
-		p.add(a)
+		p.addPeer(a)
 	}
 	for _, x := range p.all {
-		x.signal() // it may have become a partner, or be none any more
+		x.signal() // it may have become a partner or ceased to be one
 	}
 	select {
 	case p.changed <- struct{}{}:
@@ -110,36 +111,37 @@
 	}
 }
 
-// tell passes the living entries on to the core, for agents, when they change.
-func (p *peers) tell() {
-	living := p.living()
+// notifyAgents passes the live entries to the core, which notifies agents, if they have
+// changed.
+func (p *peers) notifyAgents() {
+	alive := p.alive()
 	p.mu.Lock()
-	same := slices.Equal(living, p.told)
-	p.told = living
+	same := slices.Equal(alive, p.notified)
+	p.notified = alive
 	p.mu.Unlock()
 	if !same {
-		p.d.decide(func(time.Time) { p.d.core.SetEntries(living) })
+		p.d.decide(func(time.Time) { p.d.core.SetEntries(alive) })
 	}
 }
 
-// living lists the entries known to live, this one included, in order.
-func (p *peers) living() []string {
+// alive returns the entries known to be alive, including this one, in order.
+func (p *peers) alive() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Living()
 }
 
-func (p *peers) learn(addresses []string) {
-	p.do(func(now time.Time) {
+func (p *peers) addCandidates(addresses []string) {
+	p.updateView(func(now time.Time) {
 		p.view.Learn(now, addresses)
 		for _, a := range addresses {
-			p.add(a)
+			p.addPeer(a)
 		}
 	})
 }
 
-// add keeps an entry, by its address. The lock is held.
-func (p *peers) add(address string) {
+// addPeer adds the entry at an address and starts its exchanges. The caller holds p.mu.
+func (p *peers) addPeer(address string) {
 	if p.ctx == nil || address == "" || address == p.d.opts.Address || p.all[address] != nil {
 		return
 	}
@@ -150,7 +152,7 @@
 		wake:   make(chan struct{}, 1),
 	}
 	p.all[address] = x
-	go p.exchange(p.ctx, x)
+	go p.exchangeLoop(p.ctx, x)
 }
 
 func (p *peers) forget(x *peer) bool {
@@ -177,7 +179,7 @@
 	p.wakePartners(func(*peer) bool { return true })
 }
 
-// others are the other living entries.
+// others returns the other live entries.
 func (p *peers) others() []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,16 +192,16 @@
 	return out
 }
 
-// ask calls some entries at the same time, and returns when all have answered or the
-// time of one exchange is over. A connection to one that is no partner isn't kept.
-func (p *peers) ask(ctx context.Context, whom []*peer, call func(ctx context.Context, x *peer)) {
-	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
+// callAll calls the given entries concurrently. It returns when all have responded or
+// exchangeTimeout is over. Connections to entries that aren't partners are closed.
+func (p *peers) callAll(ctx context.Context, targets []*peer, call func(ctx context.Context, x *peer)) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, x := range whom {
+	for _, x := range targets {
 		wg.Go(func() {
 			call(ctx, x)
-			if !p.partner(x) {
+			if !p.isPartner(x) {
 				x.http.CloseIdleConnections()
 			}
 		})
@@ -207,17 +209,17 @@
 	wg.Wait()
 }
 
-func (p *peers) partner(x *peer) bool {
+func (p *peers) isPartner(x *peer) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Partner(x.address)
 }
 
-// cancel asks every living entry to end a job.
+// cancel asks all other live entries to cancel a job.
 func (p *peers) cancel(ctx context.Context, queue, id string) bool {
 	var mu sync.Mutex
 	known := false
-	p.ask(ctx, p.others(), func(ctx context.Context, x *peer) {
+	p.callAll(ctx, p.others(), func(ctx context.Context, x *peer) {
 		resp, err := x.client.Cancel(ctx, connect.NewRequest(&pb.CancelRequest{Queue: queue, Job: id}))
 		if err != nil {
 			p.d.opts.Logger.Warn("cancel_unanswered", "entry", x.address, "job", id, "err", err)
--- a/node/dispatcher/routes.go
+++ b/node/dispatcher/routes.go
@@ -8,12 +8,12 @@
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// routes is an immutable index of the queues of one configuration. It is swapped
-// as a whole, so that a request sees one version.
+// routes is an immutable index of the queues of one configuration. It is replaced
+// as a whole, so that a request sees a single version.
 type routes struct {
 	version uint64
 	limits  *pb.Limits
-	// byHost has a host's queues, longest prefix first.
+	// byHost holds the queues of each host, longest prefix first.
 	byHost map[string][]*pb.Queue
 }
 
--- a/node/dispatcher/waiting.go
+++ b/node/dispatcher/waiting.go
@@ -8,27 +8,28 @@
 	"github.com/papayahoist/papayahoist/node/clock"
 )
 
-// waiting counts the jobs that wait at other entries, by what they have told.
+// waiting returns the number of a queue's jobs that wait at other entries, as they have
+// reported.
 func (p *peers) waiting(queue string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tally.Others(clock.Now(), queue)
 }
 
-// countWaiting takes in how many jobs have waited here for a while.
+// countWaiting records, by queue, how many jobs have waited here for the minimum time.
 func (p *peers) countWaiting(jobs map[string]int) {
 	p.changeTally(func(now time.Time) { p.tally.SetOwn(now, jobs) })
 }
 
-// mergeWaiting takes in what others have told.
+// mergeWaiting merges the records received from another entry.
 func (p *peers) mergeWaiting(records []*pb.WaitingRecord) {
 	if len(records) == 0 {
 		return
 	}
-	p.changeTally(func(now time.Time) { p.tally.Merge(now, fromWaiting(records)) })
+	p.changeTally(func(now time.Time) { p.tally.Merge(now, waitingFromMessages(records)) })
 }
 
-// changeTally has the partners told when there is something new to tell.
+// changeTally calls change, and notifies the partners if the tally has changed.
 func (p *peers) changeTally(change func(now time.Time)) {
 	p.mu.Lock()
 	before := p.tally.Changes()
@@ -40,7 +41,7 @@
 	}
 }
 
-// waitingRecords are what this entry tells. The lock is held.
+// waitingRecords returns the tally's records as messages. The caller holds p.mu.
 func (p *peers) waitingRecords() []*pb.WaitingRecord {
 	var out []*pb.WaitingRecord
 	for _, r := range p.tally.Records(clock.Now()) {
@@ -53,7 +54,7 @@
 	return out
 }
 
-func fromWaiting(records []*pb.WaitingRecord) []tally.Record {
+func waitingFromMessages(records []*pb.WaitingRecord) []tally.Record {
 	var out []tally.Record
 	for _, m := range records {
 		r := tally.Record{Address: m.Address, Version: m.Version}
