--- a/node/runner/entries.go
+++ b/node/runner/entries.go
@@ -11,97 +11,100 @@
 )
 
 const (
-	// redialMin and redialMax bound the pause between attempts at an entry. Short at
-	// first: runs are stopped when an entry stays silent.
-	redialMin = 50 * time.Millisecond
-	redialMax = time.Second
-	// redialEach is the pause, for each entry that is tried, while none is linked: no
-	// work comes then, and an entry that is back must not wait. It bounds an agent's
-	// attempts to a hundred a second.
-	redialEach = 10 * time.Millisecond
-	// forgetAfter is how long an address without an entry behind it is tried, when
-	// the other entries don't name it as living.
+	// minRedialPause and maxRedialPause bound the pause between attempts to link to an
+	// entry. The first pauses are short because runs are stopped when their entry stays
+	// unresponsive.
+	minRedialPause = 50 * time.Millisecond
+	maxRedialPause = time.Second
+	// redialPausePerEntry, times the number of known entries, is the pause while no entry
+	// is linked: no work arrives then, and an entry that is back must not wait. It limits
+	// an agent to a hundred attempts per second.
+	redialPausePerEntry = 10 * time.Millisecond
+	// forgetAfter is how long an address without a responding entry is tried when the
+	// other entries don't list it as alive.
 	forgetAfter = 20 * time.Second
-	// tryNextAfter is when an agent that has met no entry yet tries one more beside those that
-	// it tries; one that fails is replaced at once. Each entry tells it of others, so one is
-	// enough; a fleet that begins would otherwise link to each of a few seeds as a whole.
+	// tryNextAfter is the time after which an agent that hasn't linked to any entry yet
+	// tries one more in parallel; one that fails is replaced at once. Each entry sends the
+	// addresses of others, so one is enough. Otherwise all agents of a starting fleet
+	// would link to each of a few seeds.
 	tryNextAfter = time.Second
-	// findAfter leaves the entries known the time to answer before others are looked for:
-	// in a start of all machines each agent would read the list.
-	findAfter = 500 * time.Millisecond
-	// findEvery is how often entries are looked for elsewhere while none is linked.
-	findEvery = 2 * time.Second
-	// reviewEvery is how often the choice of entries is looked at besides its changes.
-	reviewEvery = time.Second
-	// settleFor is how long a link is kept that the choice has passed over. After a start
-	// of all machines the entries become known one by one, and the choice changes with
+	// findDelay gives the known entries time to respond before others are looked up.
+	// Otherwise each agent would read the list when all machines start.
+	findDelay = 500 * time.Millisecond
+	// findInterval is the time between two lookups of entries while none is linked.
+	findInterval = 2 * time.Second
+	// reconcileInterval is the time between two reconciliations of the links in addition
+	// to those after a change.
+	reconcileInterval = time.Second
+	// unchosenGrace is how long a link to an entry is kept that is no longer chosen. When
+	// all machines start, the entries become known one by one and the choice changes with
 	// each: links would be opened and closed again.
-	settleFor = 2 * time.Second
-	// guestFor is how long a link is kept that an entry has asked for: the bursts that
-	// make entries ask last some seconds.
-	guestFor = 10 * time.Second
-	// maxTargets bounds the addresses that an agent remembers: those it is told of, some
-	// times over. The ones named last are kept.
+	unchosenGrace = 2 * time.Second
+	// invitationTime is how long a link is kept that an entry has asked for. Bursts that
+	// make entries ask for links last some seconds.
+	invitationTime = 10 * time.Second
+	// maxTargets bounds the addresses that an agent remembers, to a multiple of those
+	// advertised to it. The ones listed most recently are kept.
 	maxTargets = 4 * subset.Told
 )
 
-// entries keeps links to some of the entries that are known; see package subset.
+// entries maintains links to a subset of the known entries; see package subset.
 type entries struct {
 	r *Runner
 
-	mu    sync.Mutex
-	known map[string]*target // by address
-	epoch uint64
-	begun time.Time
-	met   bool // an entry has been linked once
+	mu         sync.Mutex
+	known      map[string]*target // by address
+	epoch      uint64
+	startedAt  time.Time
+	linkedOnce bool // an entry has been linked at least once
 }
 
-// target is an address where an entry is, or was.
+// target is the address of an entry, present or past.
 type target struct {
 	address     string
-	incarnation string // of the entry met there last
-	named       time.Time
+	incarnation string // of the entry at the last handshake; empty if its process has ended
+	lastListed  time.Time
 	linked      bool
-	// down: the last attempt at a link failed.
+	// down reports that the last attempt to open a link failed.
 	down bool
-	// tried: a goroutine keeps or tries the link.
-	tried bool
-	// wanted is when the choice last held it.
-	wanted time.Time
-	// guestUntil is until when its entry, which has asked for the link, gets one beside
-	// those chosen.
-	guestUntil time.Time
-	retiring   bool
+	// active reports that a goroutine maintains the link or tries to open it.
+	active bool
+	// lastChosen is when the target was last among the chosen ones.
+	lastChosen time.Time
+	// invitedUntil is until when the entry, which has asked for a link, gets one in
+	// addition to the chosen ones.
+	invitedUntil time.Time
+	retiring     bool
 }
 
 func newEntries(r *Runner) *entries { return &entries{r: r, known: make(map[string]*target)} }
 
-// run keeps the links until the runner is closed.
+// run maintains the links until the runner is closed.
 func (e *entries) run() {
 	e.mu.Lock()
-	e.begun = clock.Now()
+	e.startedAt = clock.Now()
 	e.mu.Unlock()
-	e.learn(e.r.opts.Entries)
-	e.r.pause(findAfter)
+	e.addAddresses(e.r.opts.Entries)
+	e.r.pause(findDelay)
 	for e.r.ctx.Err() == nil {
 		if e.r.opts.FindEntries != nil && !e.anyLinked() {
 			e.find()
-			e.r.pause(findEvery)
+			e.r.pause(findInterval)
 			continue
 		}
-		e.r.pause(reviewEvery)
-		e.review()
+		e.r.pause(reconcileInterval)
+		e.reconcile()
 	}
 }
 
-// longestPause bounds the pause between attempts at an entry.
-func (e *entries) longestPause() time.Duration {
+// maxPause returns the longest pause between attempts to link to an entry.
+func (e *entries) maxPause() time.Duration {
 	if e.anyLinked() {
-		return redialMax
+		return maxRedialPause
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(redialMin, time.Duration(len(e.known))*redialEach)
+	return max(minRedialPause, time.Duration(len(e.known))*redialPausePerEntry)
 }
 
 func (e *entries) anyLinked() bool {
@@ -116,18 +119,18 @@
 }
 
 func (e *entries) find() {
-	ctx, cancel := context.WithTimeout(e.r.ctx, findEvery)
+	ctx, cancel := context.WithTimeout(e.r.ctx, findInterval)
 	defer cancel()
 	addresses, err := e.r.opts.FindEntries(ctx)
 	if err != nil {
 		e.r.opts.Logger.Warn("entries_not_found", "err", err)
 		return
 	}
-	e.learn(subset.First(e.r.opts.Core.Agent, addresses, subset.Told))
+	e.addAddresses(subset.First(e.r.opts.Core.Agent, addresses, subset.Told))
 }
 
-// learn takes in addresses of living entries, and links to those that are chosen.
-func (e *entries) learn(addresses []string) {
+// addAddresses adds addresses of live entries, and opens links to those that are chosen.
+func (e *entries) addAddresses(addresses []string) {
 	e.mu.Lock()
 	for _, address := range addresses {
 		t := e.known[address]
@@ -135,32 +138,32 @@
 			t = &target{address: address}
 			e.known[address] = t
 		}
-		t.named = clock.Now()
+		t.lastListed = clock.Now()
 	}
 	e.trim()
 	e.mu.Unlock()
-	e.review()
+	e.reconcile()
 }
 
-// trim forgets the addresses named longest ago when there are too many. The lock is
-// held.
+// trim removes the inactive addresses listed least recently if there are more than
+// maxTargets. Configured addresses stay. The caller holds e.mu.
 func (e *entries) trim() {
 	if len(e.known) <= maxTargets {
 		return
 	}
 	var idle []*target
 	for _, t := range e.known {
-		if !t.tried && !slices.Contains(e.r.opts.Entries, t.address) {
+		if !t.active && !slices.Contains(e.r.opts.Entries, t.address) {
 			idle = append(idle, t)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *target) int { return a.named.Compare(b.named) })
+	slices.SortFunc(idle, func(a, b *target) int { return a.lastListed.Compare(b.lastListed) })
 	for _, t := range idle[:min(len(idle), len(e.known)-maxTargets)] {
 		delete(e.known, t.address)
 	}
 }
 
-// choose returns the targets to keep or try links with. The lock is held.
+// choose returns the targets to maintain links to. The caller holds e.mu.
 func (e *entries) choose() []*target {
 	addresses := make([]string, 0, len(e.known))
 	for address := range e.known {
@@ -168,50 +171,50 @@
 	}
 	ranked := subset.Rank(e.r.opts.Core.Agent, addresses)
 	var out []*target
-	for _, a := range subset.Choose(ranked, e.wantedLinks(), func(a string) bool { return e.known[a].down }) {
+	for _, a := range subset.Choose(ranked, e.linkCount(), func(a string) bool { return e.known[a].down }) {
 		out = append(out, e.known[a])
 	}
 	for _, a := range ranked[len(out):] {
-		if t := e.known[a]; clock.Now().Before(t.guestUntil) {
+		if t := e.known[a]; clock.Now().Before(t.invitedUntil) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// wantedLinks is how many entries to keep links with. The lock is held.
-func (e *entries) wantedLinks() int {
-	if e.met {
+// linkCount returns the number of entries to maintain links to. The caller holds e.mu.
+func (e *entries) linkCount() int {
+	if e.linkedOnce {
 		return subset.Links
 	}
-	return min(1+int(clock.Now().Sub(e.begun)/tryNextAfter), subset.Links)
+	return min(1+int(clock.Now().Sub(e.startedAt)/tryNextAfter), subset.Links)
 }
 
-// invited takes in that entries ask for a link.
-func (e *entries) invited(addresses []string) {
+// handleInvitations opens links to the entries that ask for one.
+func (e *entries) handleInvitations(addresses []string) {
 	e.mu.Lock()
-	until := clock.Now().Add(guestFor)
+	until := clock.Now().Add(invitationTime)
 	for _, address := range addresses {
 		t := e.known[address]
 		if t == nil {
-			t = &target{address: address, named: clock.Now()}
+			t = &target{address: address, lastListed: clock.Now()}
 			e.known[address] = t
 		}
-		t.guestUntil = until
+		t.invitedUntil = until
 	}
 	e.mu.Unlock()
-	e.review()
+	e.reconcile()
 }
 
-// review begins links to entries that are chosen, and closes those to others once
-// enough of the chosen are linked.
-func (e *entries) review() {
+// reconcile opens links to the chosen entries, and retires those to others once enough of
+// the chosen entries are linked.
+func (e *entries) reconcile() {
 	e.mu.Lock()
 	now := clock.Now()
 	var retire, keep []string
 	linked := 0
 	for _, t := range e.choose() {
-		t.wanted = now
+		t.lastChosen = now
 		if t.linked {
 			linked++
 		}
@@ -219,13 +222,13 @@
 			t.retiring = false
 			keep = append(keep, t.incarnation)
 		}
-		if !t.tried {
-			t.tried = true
-			go e.keep(t)
+		if !t.active {
+			t.active = true
+			go e.maintain(t)
 		}
 	}
 	for _, t := range e.known {
-		if t.linked && !t.retiring && linked >= subset.Links && now.Sub(t.wanted) >= settleFor {
+		if t.linked && !t.retiring && linked >= subset.Links && now.Sub(t.lastChosen) >= unchosenGrace {
 			t.retiring = true
 			retire = append(retire, t.incarnation)
 		}
@@ -241,65 +244,65 @@
 	})
 }
 
-// keep links to one entry again and again while it is chosen, until its address is
-// forgotten.
-func (e *entries) keep(t *target) {
-	pause := redialMin
+// maintain keeps a link to one entry open, and reopens it when it ends, until the entry is
+// no longer chosen or its address is forgotten.
+func (e *entries) maintain(t *target) {
+	pause := minRedialPause
 	for e.r.ctx.Err() == nil {
 		began := clock.Now()
 		if e.attach(t) {
-			pause = redialMin
-		} else if e.failed(t) {
+			pause = minRedialPause
+		} else if e.linkFailed(t) {
 			return
 		}
-		if e.left(t) {
+		if e.deactivate(t) {
 			return
 		}
-		if clock.Now().Sub(began) < redialMax {
-			e.r.pause(min(pause, e.longestPause()))
-			pause = min(2*pause, redialMax)
+		if clock.Now().Sub(began) < maxRedialPause {
+			e.r.pause(min(pause, e.maxPause()))
+			pause = min(2*pause, maxRedialPause)
 		}
 	}
 }
 
-// failed takes in that no link could be opened, and reports whether the address is
+// linkFailed records that no link could be opened, and reports whether the address is
 // forgotten.
-func (e *entries) failed(t *target) (forgotten bool) {
+func (e *entries) linkFailed(t *target) (forgotten bool) {
 	e.mu.Lock()
 	first := !t.down
 	t.down = true
-	if clock.Now().Sub(t.named) >= forgetAfter && !slices.Contains(e.r.opts.Entries, t.address) {
+	if clock.Now().Sub(t.lastListed) >= forgetAfter && !slices.Contains(e.r.opts.Entries, t.address) {
 		delete(e.known, t.address)
 		forgotten = true
 	}
 	e.mu.Unlock()
 	if first || forgotten {
-		e.review() // others stand in for it
+		e.reconcile() // links to others replace it
 	}
 	return forgotten
 }
 
-// left reports whether an entry without a link isn't chosen any more, and ends the
-// attempts at it then.
-func (e *entries) left(t *target) bool {
+// deactivate reports whether an entry without a link is no longer chosen, and marks it
+// inactive then.
+func (e *entries) deactivate(t *target) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if slices.Contains(e.choose(), t) {
 		return false
 	}
-	t.tried, t.retiring = false, false
+	t.active, t.retiring = false, false
 	return true
 }
 
-func (e *entries) set(t *target, incarnation string, linked bool) {
+func (e *entries) setLinked(t *target, incarnation string, linked bool) {
 	e.mu.Lock()
 	t.linked = linked
-	t.named = clock.Now()
+	t.lastListed = clock.Now()
 	if linked {
-		t.incarnation, t.down, e.met = incarnation, false, true
+		t.incarnation, t.down, e.linkedOnce = incarnation, false, true
 	}
 	e.mu.Unlock()
 	if linked {
-		e.review() // those that stood in for it may go
+		e.reconcile() // links that replaced it may be retired
 	}
 }
--- a/node/runner/links.go
+++ b/node/runner/links.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// attachTimeout bounds the opening of a link: some round trips, and the wait for
-	// a processor that has used up its share.
+	// attachTimeout bounds the time to open a link: a few round trips, and the wait of a
+	// process that has used up its CPU share.
 	attachTimeout = 400 * time.Millisecond
-	// dialWithin bounds the wait for a connection, which the kernel of the entry's
-	// machine grants without its process: some round trips. The first packet to a
-	// machine without power is lost and sent again after a second; a new attempt is
-	// what notices sooner that it is back.
-	dialWithin = 150 * time.Millisecond
+	// dialTimeout bounds the time to connect: a few round trips, as the kernel of the
+	// entry's machine accepts connections without the process. A packet to a machine that
+	// is down is lost and retransmitted after a second; a new attempt detects sooner that
+	// the machine is back.
+	dialTimeout = 150 * time.Millisecond
 )
 
 // link is one connection to an entry.
@@ -34,56 +34,56 @@
 
 type linkStream = connect.BidiStreamForClient[pb.WorkerFrame, pb.OrderFrame]
 
-// attach opens a link and serves it until it ends. It reports whether it was open.
+// attach opens a link and serves it until it ends. It reports whether the link was open.
 func (e *entries) attach(t *target) bool {
 	e.mu.Lock()
 	e.epoch++
-	epoch, met := e.epoch, t.incarnation
+	epoch, previous := e.epoch, t.incarnation
 	e.mu.Unlock()
 	ctx, cancel := context.WithCancel(e.r.ctx)
 	defer cancel()
-	client := rpc.NewClientWithin(dialWithin, nil)
+	client := rpc.NewClientWithin(dialTimeout, nil)
 	defer client.CloseIdleConnections()
-	late := time.AfterFunc(attachTimeout, cancel)
-	asked := clock.Now()
+	timeout := time.AfterFunc(attachTimeout, cancel)
+	dialedAt := clock.Now()
 	stream := papayahoistv1connect.NewWorkServiceClient(client, rpc.URL(t.address, nil), rpc.NoCompressionWanted).Attach(ctx)
-	err := stream.Send(&pb.WorkerFrame{Hello: e.r.greeting(met, epoch)})
+	err := stream.Send(&pb.WorkerFrame{Hello: e.r.newGreeting(previous, epoch)})
 	var first *pb.OrderFrame
 	if err == nil {
 		first, err = stream.Receive()
 	}
-	late.Stop()
+	timeout.Stop()
 	if err != nil || first.GetHello() == nil {
-		if met != "" && errors.Is(err, syscall.ECONNREFUSED) {
-			// Nothing listens where the entry was: its process has ended.
-			e.gone(t, met, "nothing listens at the entry's address")
+		if previous != "" && errors.Is(err, syscall.ECONNREFUSED) {
+			// Nothing listens at the entry's address: its process has ended.
+			e.entryEnded(t, previous, "nothing listens at the entry's address")
 		}
 		return false
 	}
-	e.learn(first.Entries)
+	e.addAddresses(first.Entries)
 	hello := first.Hello
-	if met != "" && met != hello.Incarnation {
-		e.gone(t, met, "another process answers at the entry's address")
+	if previous != "" && previous != hello.Incarnation {
+		e.entryEnded(t, previous, "another process answers at the entry's address")
 	}
-	e.serve(ctx, cancel, stream, t, hello, epoch, asked, first.SentNs)
+	e.serve(ctx, cancel, stream, t, hello, epoch, dialedAt, first.SentNs)
 	return true
 }
 
-// gone takes in that an entry process has ended.
-func (e *entries) gone(t *target, incarnation, why string) {
+// entryEnded records that an entry process has ended.
+func (e *entries) entryEnded(t *target, incarnation, why string) {
 	e.mu.Lock()
 	t.incarnation = ""
 	e.mu.Unlock()
 	e.r.decide(func(now time.Time) { e.r.core.EntryGone(now, incarnation, why) })
 }
 
-func (e *entries) serve(ctx context.Context, cancel context.CancelFunc, stream *linkStream, t *target, hello *pb.EntryGreeting, epoch uint64, asked time.Time, sentNs int64) {
+func (e *entries) serve(ctx context.Context, cancel context.CancelFunc, stream *linkStream, t *target, hello *pb.EntryGreeting, epoch uint64, dialedAt time.Time, sentNs int64) {
 	l := &link{epoch: epoch, out: rpc.NewQueue[*pb.WorkerFrame](), end: cancel}
-	e.set(t, hello.Incarnation, true)
-	defer e.set(t, hello.Incarnation, false)
+	e.setLinked(t, hello.Incarnation, true)
+	defer e.setLinked(t, hello.Incarnation, false)
 	up := false
 	e.r.decide(func(now time.Time) {
-		if up = e.r.core.LinkUp(now, asked, hello, epoch, sentNs); up {
+		if up = e.r.core.LinkUp(now, dialedAt, hello, epoch, sentNs); up {
 			e.r.links[hello.Incarnation] = l
 		}
 	})
@@ -99,10 +99,10 @@
 			break
 		}
 		if len(f.Entries) > 0 {
-			e.learn(f.Entries)
+			e.addAddresses(f.Entries)
 		}
 		if len(f.InvitedBy) > 0 {
-			e.invited(f.InvitedBy)
+			e.handleInvitations(f.InvitedBy)
 		}
 		ended = ended || f.Ended
 		e.r.decide(func(now time.Time) { e.r.core.Step(now, hello.Incarnation, epoch, f) })
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner drives the decisions of package dispatch/runner: it attaches to
-// every entry, calls the worker, and keeps time.
+// Package runner does the I/O for the state machine in package dispatch/runner: it
+// attaches to entries, calls the worker and runs the timer.
 package runner
 
 import (
@@ -14,55 +14,55 @@
 	"github.com/papayahoist/papayahoist/node/rpc"
 )
 
-// Worker is the service on the same machine that runs tasks. All methods may be
-// called concurrently; none repeats a call by itself.
+// Worker is the service on the same machine that runs tasks. All methods must be safe for
+// concurrent use, and must not retry a call.
 type Worker interface {
 	Start(ctx context.Context, s runner.Start) (v runner.StartVerdict, clock time.Duration, why string)
-	// Stop reports whether the worker has answered.
+	// Stop reports whether the worker has responded.
 	Stop(ctx context.Context, s runner.Stop) (answered bool, clock time.Duration)
 	Look(ctx context.Context, l runner.Look) (runner.Seen, runner.LookVerdict)
 }
 
 // Options configure a Runner.
 type Options struct {
-	// Entries are nodes' addresses of entries to begin with; they may be stale.
+	// Entries are the nodes' addresses of entries to start with. They may be out of date.
 	Entries []string
 	Worker  Worker
 	Core    runner.Options
-	// FindEntries asks elsewhere for entries when none answers; nil: nowhere.
+	// FindEntries, if not nil, looks up the addresses of entries while none is linked.
 	FindEntries func(ctx context.Context) ([]string, error)
-	// OnFrame is told of each frame that goes to an entry; nil: nobody.
+	// OnFrame, if not nil, is called with each frame queued for an entry.
 	OnFrame func(*pb.WorkerFrame)
 	Logger  *slog.Logger
 }
 
 const (
-	// lookAgainAfter keeps failing looks from taking the whole processor.
-	lookAgainAfter = 20 * time.Millisecond
-	idlePoll       = 50 * time.Millisecond
+	// pollRetryDelay keeps failing polls from using up the processor.
+	pollRetryDelay   = 20 * time.Millisecond
+	idlePollInterval = 50 * time.Millisecond
 )
 
-// Runner is the agent beside one worker.
+// Runner is the agent beside one worker. It is safe for concurrent use.
 type Runner struct {
 	opts    Options
 	ctx     context.Context
 	cancel  context.CancelFunc
 	entries *entries
-	lookNow chan struct{}
+	pollNow chan struct{}
 
-	mu    sync.Mutex // guards what follows, and serializes the core
+	mu    sync.Mutex // guards the fields below and serializes calls of core
 	core  *runner.Runner
 	links map[string]*link // by entry incarnation
 	timer *rpc.Timer
 }
 
-// New returns a Runner; Run starts it.
+// New returns a Runner. Run starts it.
 func New(o Options) *Runner {
 	if o.OnFrame == nil {
 		o.OnFrame = func(*pb.WorkerFrame) {}
 	}
 	r := &Runner{
-		opts: o, core: runner.New(o.Core), links: make(map[string]*link), lookNow: make(chan struct{}, 1),
+		opts: o, core: runner.New(o.Core), links: make(map[string]*link), pollNow: make(chan struct{}, 1),
 	}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.timer = rpc.NewTimer(func() { r.decide(r.core.Tick) })
@@ -70,16 +70,16 @@
 	return r
 }
 
-// Run works until Close.
+// Run links to entries and polls the worker until Close.
 func (r *Runner) Run() {
 	var wg sync.WaitGroup
-	wg.Go(r.lookLoop)
-	wg.Go(r.lookAtOnce)
+	wg.Go(r.pollLoop)
+	wg.Go(r.pollOnRequest)
 	wg.Go(r.entries.run)
 	wg.Wait()
 }
 
-// Close ends the links and the calls.
+// Close closes the links and cancels calls to the worker.
 func (r *Runner) Close() {
 	r.cancel()
 	r.mu.Lock()
@@ -87,34 +87,34 @@
 	r.timer.Stop()
 }
 
-// Reported takes in what the worker says of itself. False: it names no worker that
-// is used.
+// Reported handles a worker's report of its own state. It returns false if the report is
+// not from a worker in use.
 func (r *Runner) Reported(w runner.Worker) (ok bool) {
 	r.decide(func(now time.Time) { ok = r.core.Reported(now, w) })
 	return ok
 }
 
-// Recalled takes in the worker's life that an earlier process had on record.
+// Recalled restores the worker's incarnation recorded by an earlier agent process.
 func (r *Runner) Recalled(w runner.Worker) {
 	r.decide(func(now time.Time) { r.core.Recalled(now, w) })
 }
 
-// Left takes in that a worker says it ends.
+// Left handles a worker's notice that it ends.
 func (r *Runner) Left(id string) {
 	r.decide(func(now time.Time) { r.core.Left(now, id) })
 }
 
-// Leave stops taking orders.
+// Leave makes the agent refuse new orders.
 func (r *Runner) Leave() { r.decide(r.core.Leave) }
 
-// Drained reports whether nothing runs.
+// Drained reports whether no runs are left.
 func (r *Runner) Drained() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.core.Drained()
 }
 
-// decide runs one input of the core and carries out what it asks for.
+// decide applies one input to the core and executes the actions that the core returns.
 func (r *Runner) decide(input func(now time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 	if ready.Look {
 		select {
-		case r.lookNow <- struct{}{}:
+		case r.pollNow <- struct{}{}:
 		default:
 		}
 	}
@@ -162,33 +162,33 @@
 	}
 }
 
-// lookLoop keeps one look waiting at the worker, which renews the lease.
-func (r *Runner) lookLoop() {
+// pollLoop keeps one waiting poll pending at the worker, which renews the lease.
+func (r *Runner) pollLoop() {
 	for r.ctx.Err() == nil {
-		if !r.look(true) {
-			r.pause(lookAgainAfter)
+		if !r.poll(true) {
+			r.pause(pollRetryDelay)
 		}
 	}
 }
 
-// lookAtOnce makes looks that don't wait, when something has to be known now.
-func (r *Runner) lookAtOnce() {
+// pollOnRequest performs an immediate poll whenever the core asks for one.
+func (r *Runner) pollOnRequest() {
 	for {
 		select {
-		case <-r.lookNow:
-			r.look(false)
+		case <-r.pollNow:
+			r.poll(false)
 		case <-r.ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *Runner) look(waiting bool) (answered bool) {
+func (r *Runner) poll(waiting bool) (answered bool) {
 	var l runner.Look
 	var ok bool
 	r.decide(func(now time.Time) { l, ok = r.core.NextLook(now, waiting) })
 	if !ok {
-		r.pause(idlePoll)
+		r.pause(idlePollInterval)
 		return true
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, l.Wait+l.Slack)
@@ -219,8 +219,9 @@
 	}
 }
 
-// greeting opens a link to an entry.
-func (r *Runner) greeting(incarnation string, epoch uint64) (g *pb.AgentGreeting) {
+// newGreeting closes the earlier link to an entry in the core, and returns the first
+// message of a new one.
+func (r *Runner) newGreeting(incarnation string, epoch uint64) (g *pb.AgentGreeting) {
 	r.decide(func(now time.Time) {
 		r.core.Closing(now, incarnation)
 		g = r.core.Greeting(epoch)
@@ -228,5 +229,5 @@
 	return g
 }
 
-// Learn takes in addresses of entries found elsewhere.
-func (r *Runner) Learn(addresses []string) { r.entries.learn(addresses) }
+// Learn adds addresses of entries that were found by other means.
+func (r *Runner) Learn(addresses []string) { r.entries.addAddresses(addresses) }
