--- a/client/budget.go
+++ b/client/budget.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Limits of retries, over all of a client's jobs.
+// Limits of retries, over all jobs of a client.
 const (
-	// budgetBurst is how many retries may follow each other at once.
+	// budgetBurst is the number of retries that need no delay.
 	budgetBurst = 20
-	// budgetPerJob is what each submission adds.
+	// budgetPerJob is the number of retries that each submission adds.
 	budgetPerJob = 0.2
-	// budgetPerSecond is what time adds, so that a quiet client can retry too.
+	// budgetPerSecond is the number of retries added per second, so that a client
+	// with few jobs can retry too.
 	budgetPerSecond = 2
 )
 
-// budget bounds retries to a share of the jobs. Without it, entries that answer
-// late get every job again and again from every client, and the retries keep
-// them late when the cause has passed; one would notice requests that stay many
-// times the jobs after a fault. A retry beyond the budget is delayed, not
-// dropped: the job's deadline decides when to give up.
+// budget limits retries to a fraction of the jobs. Without it, slow entries
+// would receive every job repeatedly from every client, and the retries would
+// keep them overloaded after the cause has passed: the request rate would stay
+// at many times the job rate after a fault. A retry beyond the budget is
+// delayed, not dropped; the job's deadline decides when to stop.
 type budget struct {
 	mu     sync.Mutex
 	tokens float64
@@ -30,7 +31,7 @@
 	return &budget{tokens: budgetBurst, last: now}
 }
 
-// deposit adds one submission's share.
+// deposit adds the retries that one submission allows.
 func (b *budget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -41,9 +42,9 @@
 func (b *budget) take(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	passed := now.Sub(b.last).Seconds()
+	elapsed := now.Sub(b.last).Seconds()
 	b.last = now
-	b.tokens = min(b.tokens+passed*budgetPerSecond, budgetBurst) - 1
+	b.tokens = min(b.tokens+elapsed*budgetPerSecond, budgetBurst) - 1
 	if b.tokens >= 0 {
 		return 0
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -17,55 +17,57 @@
 
 // Defaults of Options.
 const (
-	DefaultWait    = 2 * time.Second
-	DefaultSilence = time.Second
+	DefaultWait            = 2 * time.Second
+	DefaultResponseTimeout = time.Second
 )
 
 const (
-	// uniqueBytes is the random part of a job id, 128 bits.
+	// uniqueBytes is the length of the random part of a job id (128 bits).
 	uniqueBytes = 16
-	// homeFresh is how long a token is used after its entry was heard. A job
-	// whose home has died can be refused at best, so a client that was idle
-	// asks who is there before it names a home.
-	homeFresh = 5 * time.Second
+	// homeTokenTTL is how long a home token is used after its entry last responded.
+	// A job whose home has died can only be refused, so a client that was idle
+	// asks for the current home before it creates an id.
+	homeTokenTTL = 5 * time.Second
 )
 
 // Options are a client's options.
 type Options struct {
-	// Addresses are base URLs of entries, or of the balancer in front of them,
-	// such as "http://10.0.1.5:7400". The next one is tried after a fault.
+	// Addresses are base URLs of entries, or of the load balancer in front of
+	// them, such as "http://10.0.1.5:7400". After a fault the next one is tried.
 	Addresses []string
-	// Token is sent as the bearer token; empty: none.
+	// Token is sent as the bearer token; none if empty.
 	Token string
-	// HTTPClient sends the requests; nil: one of the client's own.
+	// HTTPClient sends the requests; nil selects a client with default settings.
 	HTTPClient *http.Client
-	// Wait is how long one request may wait for an answer at the entry;
-	// zero: DefaultWait. At most jobs.MaxWait.
+	// Wait is how long the entry may hold one request until the answer is there.
+	// Zero means DefaultWait; the maximum is jobs.MaxWait.
 	Wait time.Duration
-	// Silence is how long after Wait a connection may stay silent before it is
-	// given up and the request is sent on a new one; zero: DefaultSilence.
-	Silence time.Duration
+	// ResponseTimeout is how long beyond Wait a response may take before the
+	// request is abandoned and sent on a new connection. Zero means
+	// DefaultResponseTimeout.
+	ResponseTimeout time.Duration
 }
 
 // Client submits jobs.
 type Client struct {
-	http    *http.Client
-	bases   []string
-	token   string
-	wait    time.Duration
-	silence time.Duration
-	budget  *budget
+	http            *http.Client
+	baseURLs        []string
+	token           string
+	wait            time.Duration
+	responseTimeout time.Duration
+	budget          *budget
 
-	// next picks the base; it moves on after a fault.
+	// next selects the base URL; it advances after a fault.
 	next atomic.Uint64
-	// home is the entry that answered last, nil before that and after a fault.
+	// home is the entry that responded last; nil before the first response and
+	// after a fault.
 	home atomic.Pointer[home]
 }
 
-// home is what an entry said of itself.
+// home is the home token of an entry and when it was last received.
 type home struct {
-	token string
-	heard time.Time
+	token      string
+	receivedAt time.Time
 }
 
 // New returns a client. Errors are of type Misuse.
@@ -74,20 +76,20 @@
 		return nil, err
 	}
 	c := &Client{
-		http:    options.HTTPClient,
-		token:   options.Token,
-		wait:    options.Wait,
-		silence: options.Silence,
-		budget:  newBudget(time.Now()),
+		http:            options.HTTPClient,
+		token:           options.Token,
+		wait:            options.Wait,
+		responseTimeout: options.ResponseTimeout,
+		budget:          newBudget(time.Now()),
 	}
 	for _, address := range options.Addresses {
-		c.bases = append(c.bases, strings.TrimSuffix(address, "/"))
+		c.baseURLs = append(c.baseURLs, strings.TrimSuffix(address, "/"))
 	}
 	if c.http == nil {
 		c.http = defaultHTTPClient()
 	}
 	c.wait = cmp.Or(c.wait, DefaultWait)
-	c.silence = cmp.Or(c.silence, DefaultSilence)
+	c.responseTimeout = cmp.Or(c.responseTimeout, DefaultResponseTimeout)
 	return c, nil
 }
 
@@ -104,14 +106,14 @@
 	if o.Wait < 0 || o.Wait > jobs.MaxWait {
 		return Misuse.New("wait %s: want 0 to %s", o.Wait, jobs.MaxWait)
 	}
-	if o.Silence < 0 {
-		return Misuse.New("silence %s: want 0 or more", o.Silence)
+	if o.ResponseTimeout < 0 {
+		return Misuse.New("response timeout %s: want 0 or more", o.ResponseTimeout)
 	}
 	return nil
 }
 
-// defaultHTTPClient keeps enough connections alive for a burst of jobs, and
-// follows no redirect: a job goes to the entry that was asked, or nowhere.
+// defaultHTTPClient keeps enough idle connections for a burst of jobs, and
+// follows no redirects: a job goes only to the entry it was addressed to.
 func defaultHTTPClient() *http.Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
@@ -122,8 +124,8 @@
 	}
 }
 
-// NewID returns a job id that names the entry which answered last as its home.
-// Errors are of type NotRun: no entry answered before ctx ended.
+// NewID returns a job id whose home is the entry that responded last. Errors
+// are of type NotRun: no entry responded before ctx ended.
 func (c *Client) NewID(ctx context.Context) (string, error) {
 	token, err := c.homeToken(ctx)
 	if err != nil {
@@ -135,21 +137,21 @@
 }
 
 func (c *Client) homeToken(ctx context.Context) (string, error) {
-	if h := c.home.Load(); h != nil && time.Since(h.heard) < homeFresh {
+	if h := c.home.Load(); h != nil && time.Since(h.receivedAt) < homeTokenTTL {
 		return h.token, nil
 	}
 	for attempt := 0; ; attempt++ {
-		token, err := c.askHome(ctx)
+		token, err := c.fetchHomeToken(ctx)
 		if err == nil {
 			return token, nil
 		}
 		if pauseErr := c.pause(ctx, attempt, 0); pauseErr != nil {
-			return "", NotRun.Wrap(err, "no entry named itself")
+			return "", NotRun.Wrap(err, "no entry returned a home token")
 		}
 	}
 }
 
-func (c *Client) askHome(ctx context.Context) (string, error) {
+func (c *Client) fetchHomeToken(ctx context.Context) (string, error) {
 	reply, err := c.exchange(ctx, http.MethodGet, jobs.PathHome, nil, 0)
 	if err != nil {
 		return "", err
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,25 +19,25 @@
 	"github.com/papayahoist/papayahoist/api/jobs"
 )
 
-// step is what becomes of one request.
-type step func(f *fake, r *http.Request) (*http.Response, error)
+// handler handles one request.
+type handler func(f *fakeEntries, r *http.Request) (*http.Response, error)
 
-// seen is one request as the fake saw it.
-type seen struct {
+// seenRequest is one request that fakeEntries received.
+type seenRequest struct {
 	Method, ID, Body string
 	At               time.Duration
 }
 
-// fake plays entries on virtual time: each request meets the next step, and the
-// last step again when they run out.
-type fake struct {
-	start time.Time
-	home  string
-	steps []step
-	seen  []seen
+// fakeEntries simulates entries on virtual time: each request is passed to the
+// next handler, and to the last one once they are used up.
+type fakeEntries struct {
+	start    time.Time
+	home     string
+	handlers []handler
+	requests []seenRequest
 }
 
-func (f *fake) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f *fakeEntries) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path == jobs.PathHome {
 		return f.reply(http.StatusOK, jobs.Home{Token: f.home}), nil
 	}
@@ -49,17 +49,17 @@
 		json.Unmarshal(text, &request)
 		body, id = string(text), request.ID
 	}
-	f.seen = append(f.seen, seen{r.Method, id, body, time.Since(f.start)})
-	next := f.steps[min(len(f.seen), len(f.steps))-1]
+	f.requests = append(f.requests, seenRequest{r.Method, id, body, time.Since(f.start)})
+	next := f.handlers[min(len(f.requests), len(f.handlers))-1]
 	return next(f, r)
 }
 
-func (f *fake) reply(status int, body any) *http.Response {
+func (f *fakeEntries) reply(status int, body any) *http.Response {
 	text, _ := json.Marshal(body)
 	return f.text(status, string(text))
 }
 
-func (f *fake) text(status int, body string) *http.Response {
+func (f *fakeEntries) text(status int, body string) *http.Response {
 	return &http.Response{
 		StatusCode: status,
 		Header:     http.Header{jobs.HeaderHome: {f.home}},
@@ -67,7 +67,7 @@
 	}
 }
 
-func (f *fake) id() string { return f.seen[len(f.seen)-1].ID }
+func (f *fakeEntries) id() string { return f.requests[len(f.requests)-1].ID }
 
 func results(tasks ...uint32) []jobs.Result {
 	var all []jobs.Result
@@ -77,17 +77,17 @@
 	return all
 }
 
-func complete(tasks ...uint32) step {
-	return func(f *fake, _ *http.Request) (*http.Response, error) {
+func respondComplete(tasks ...uint32) handler {
+	return func(f *fakeEntries, _ *http.Request) (*http.Response, error) {
 		return f.reply(http.StatusOK, jobs.Response{ID: f.id(), State: jobs.StateComplete, Results: results(tasks...)}), nil
 	}
 }
 
-func otherJob(f *fake, _ *http.Request) (*http.Response, error) {
+func respondOtherJob(f *fakeEntries, _ *http.Request) (*http.Response, error) {
 	return f.reply(http.StatusOK, jobs.Response{ID: "other", State: jobs.StateComplete, Results: results(0, 1)}), nil
 }
 
-func running(f *fake, r *http.Request) (*http.Response, error) {
+func respondRunning(f *fakeEntries, r *http.Request) (*http.Response, error) {
 	select {
 	case <-time.After(DefaultWait):
 		return f.reply(http.StatusAccepted, jobs.Response{ID: f.id(), State: jobs.StateRunning}), nil
@@ -96,13 +96,13 @@
 	}
 }
 
-func refuse(status int, e jobs.Error) step {
-	return func(f *fake, _ *http.Request) (*http.Response, error) { return f.reply(status, e), nil }
+func respondError(status int, e jobs.Error) handler {
+	return func(f *fakeEntries, _ *http.Request) (*http.Response, error) { return f.reply(status, e), nil }
 }
 
-// posted answers like next if the whole job was sent, and knows nothing otherwise.
-func posted(next step) step {
-	return func(f *fake, r *http.Request) (*http.Response, error) {
+// requirePost responds like next if the whole job was sent, and refuses other requests.
+func requirePost(next handler) handler {
+	return func(f *fakeEntries, r *http.Request) (*http.Response, error) {
 		if r.Method != http.MethodPost {
 			return f.reply(http.StatusNotFound, jobs.Error{Code: jobs.CodeTaskFailed, Outcome: jobs.OutcomeFailed}), nil
 		}
@@ -110,24 +110,24 @@
 	}
 }
 
-func status(code int, body string) step {
-	return func(f *fake, _ *http.Request) (*http.Response, error) { return f.text(code, body), nil }
+func respondText(code int, body string) handler {
+	return func(f *fakeEntries, _ *http.Request) (*http.Response, error) { return f.text(code, body), nil }
 }
 
-func noConnection(*fake, *http.Request) (*http.Response, error) {
+func noConnection(*fakeEntries, *http.Request) (*http.Response, error) {
 	return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 }
 
-func reset(*fake, *http.Request) (*http.Response, error) {
+func connectionReset(*fakeEntries, *http.Request) (*http.Response, error) {
 	return nil, &net.OpError{Op: "read", Err: errors.New("reset")}
 }
 
-func silent(_ *fake, r *http.Request) (*http.Response, error) {
+func noResponse(_ *fakeEntries, r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-func cut(f *fake, _ *http.Request) (*http.Response, error) {
+func truncated(f *fakeEntries, _ *http.Request) (*http.Response, error) {
 	response := f.text(http.StatusOK, "")
 	response.Body = io.NopCloser(io.MultiReader(strings.NewReader(`{"id":`), brokenReader{}))
 	return response, nil
@@ -137,23 +137,24 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// moved answers like next, from an entry with another incarnation.
-func moved(next step) step {
-	return func(f *fake, r *http.Request) (*http.Response, error) {
+// fromOtherHome responds like next, from an entry with another incarnation.
+func fromOtherHome(next handler) handler {
+	return func(f *fakeEntries, r *http.Request) (*http.Response, error) {
 		f.home = "home-2"
 		return next(f, r)
 	}
 }
 
 var (
-	homeSilent  = jobs.Error{Code: jobs.CodeHomeLost, Message: "home is silent", Outcome: jobs.OutcomeUnknown, RetryAfterMillis: 100}
-	leaving     = jobs.Error{Code: jobs.CodeLeaving, Outcome: jobs.OutcomeNotRun, RetryAfterMillis: 1000}
-	homeLost    = jobs.Error{Code: jobs.CodeHomeLost, Outcome: jobs.OutcomeNotRun, Message: "home is gone"}
-	rateLimited = jobs.Error{Code: jobs.CodeRateLimited, Outcome: jobs.OutcomeNotRun, Message: "later", RetryAfterMillis: 400}
+	homeUnresponsive = jobs.Error{Code: jobs.CodeHomeLost, Message: "home is silent", Outcome: jobs.OutcomeUnknown, RetryAfterMillis: 100}
+	leaving          = jobs.Error{Code: jobs.CodeLeaving, Outcome: jobs.OutcomeNotRun, RetryAfterMillis: 1000}
+	homeLost         = jobs.Error{Code: jobs.CodeHomeLost, Outcome: jobs.OutcomeNotRun, Message: "home is gone"}
+	rateLimited      = jobs.Error{Code: jobs.CodeRateLimited, Outcome: jobs.OutcomeNotRun, Message: "later", RetryAfterMillis: 400}
 )
 
-// run submits a job of two tasks to f and returns when it ended, on virtual time.
-func run(t *testing.T, f *fake, job Job) (answer *Answer, took time.Duration, err error) {
+// run submits a job of two tasks to f and returns its result and duration on
+// virtual time.
+func run(t *testing.T, f *fakeEntries, job Job) (answer *Answer, took time.Duration, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f.start, f.home = time.Now(), "home-1"
@@ -168,85 +169,84 @@
 	return answer, took, err
 }
 
-// A request or its answer is lost on the way, the connection goes silent, the
-// entry behind the balancer changes. The caller's job must be sent again, and
-// each time as the very same job: another id or body would let its tasks start
-// twice, and a stamp would be on two certificates.
+// Requests or answers are lost, connections hang, or the entry behind the
+// balancer changes. The job must be sent again with the same id and body each
+// time: otherwise its tasks could start twice.
 func TestSubmitSurvivesFaults(t *testing.T) {
 	refusedWithoutProof := jobs.Error{Code: jobs.CodeUnavailable, Message: "home unreachable", Outcome: jobs.OutcomeUnknown, RetryAfterMillis: 100}
 	tests := []struct {
 		name     string
-		steps    []step
+		handlers []handler
 		requests int
-		// At least and at most this long.
-		least, most time.Duration
+		// Bounds of the duration.
+		minDuration, maxDuration time.Duration
 	}{
-		{"no fault", []step{complete(0, 1)}, 1, 0, 0},
-		{"results out of order", []step{complete(1, 0)}, 1, 0, 0},
-		{"answer lost", []step{reset, complete(0, 1)}, 2, 0, backoffBase},
-		{"connection silent", []step{silent, complete(0, 1)}, 2, DefaultWait + DefaultSilence, DefaultWait + DefaultSilence + backoffBase},
-		{"body cut", []step{cut, complete(0, 1)}, 2, 0, backoffBase},
-		{"result missing", []step{complete(0), complete(0, 1)}, 2, 0, backoffBase},
-		{"result twice", []step{complete(0, 0), complete(0, 1)}, 2, 0, backoffBase},
-		{"result of no task", []step{complete(0, 7), complete(0, 1)}, 2, 0, backoffBase},
-		{"another job's answer", []step{otherJob, complete(0, 1)}, 2, 0, backoffBase},
-		{"balancer's error page", []step{status(http.StatusBadGateway, "<html>"), complete(0, 1)}, 2, 0, backoffBase},
-		{"home changed after a lost answer", []step{reset, moved(reset), moved(complete(0, 1))}, 3, 0, 3 * backoffBase},
-		{"home unreachable for a while", []step{refuse(503, refusedWithoutProof), complete(0, 1)}, 2, 100 * time.Millisecond, 150 * time.Millisecond},
-		{"long job", []step{running, running, complete(0, 1)}, 3, 2 * DefaultWait, 2 * DefaultWait},
-		{"long job, then silence", []step{running, silent, complete(0, 1)}, 3, 2*DefaultWait + DefaultSilence, 2*DefaultWait + DefaultSilence + backoffBase},
-		{"accepted, then its home lost", []step{running, refuse(502, homeSilent), posted(complete(0, 1))}, 3, DefaultWait + 100*time.Millisecond, DefaultWait + 150*time.Millisecond},
-		{"accepted, then forgotten", []step{running, refuse(404, jobs.Error{Code: jobs.CodeNotFound}), complete(0, 1)}, 3, DefaultWait, DefaultWait + backoffBase},
+		{"no fault", []handler{respondComplete(0, 1)}, 1, 0, 0},
+		{"results out of order", []handler{respondComplete(1, 0)}, 1, 0, 0},
+		{"answer lost", []handler{connectionReset, respondComplete(0, 1)}, 2, 0, backoffBase},
+		{"connection silent", []handler{noResponse, respondComplete(0, 1)}, 2, DefaultWait + DefaultResponseTimeout, DefaultWait + DefaultResponseTimeout + backoffBase},
+		{"body cut", []handler{truncated, respondComplete(0, 1)}, 2, 0, backoffBase},
+		{"result missing", []handler{respondComplete(0), respondComplete(0, 1)}, 2, 0, backoffBase},
+		{"result twice", []handler{respondComplete(0, 0), respondComplete(0, 1)}, 2, 0, backoffBase},
+		{"result of no task", []handler{respondComplete(0, 7), respondComplete(0, 1)}, 2, 0, backoffBase},
+		{"another job's answer", []handler{respondOtherJob, respondComplete(0, 1)}, 2, 0, backoffBase},
+		{"balancer's error page", []handler{respondText(http.StatusBadGateway, "<html>"), respondComplete(0, 1)}, 2, 0, backoffBase},
+		{"home changed after a lost answer", []handler{connectionReset, fromOtherHome(connectionReset), fromOtherHome(respondComplete(0, 1))}, 3, 0, 3 * backoffBase},
+		{"home unreachable for a while", []handler{respondError(503, refusedWithoutProof), respondComplete(0, 1)}, 2, 100 * time.Millisecond, 150 * time.Millisecond},
+		{"long job", []handler{respondRunning, respondRunning, respondComplete(0, 1)}, 3, 2 * DefaultWait, 2 * DefaultWait},
+		{"long job, then silence", []handler{respondRunning, noResponse, respondComplete(0, 1)}, 3, 2*DefaultWait + DefaultResponseTimeout, 2*DefaultWait + DefaultResponseTimeout + backoffBase},
+		{"accepted, then its home lost", []handler{respondRunning, respondError(502, homeUnresponsive), requirePost(respondComplete(0, 1))}, 3, DefaultWait + 100*time.Millisecond, DefaultWait + 150*time.Millisecond},
+		{"accepted, then forgotten", []handler{respondRunning, respondError(404, jobs.Error{Code: jobs.CodeNotFound}), respondComplete(0, 1)}, 3, DefaultWait, DefaultWait + backoffBase},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := &fake{steps: test.steps}
+			f := &fakeEntries{handlers: test.handlers}
 			answer, took, err := run(t, f, Job{Timeout: 20 * time.Second})
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := &Answer{ID: f.seen[0].ID, Results: results(0, 1)}
+			want := &Answer{ID: f.requests[0].ID, Results: results(0, 1)}
 			if diff := cmp.Diff(want, answer); diff != "" {
 				t.Errorf("answer (-want +got):\n%s", diff)
 			}
-			checkOneJob(t, f.seen)
-			if len(f.seen) != test.requests || took < test.least || took > test.most {
-				t.Errorf("%d requests in %s, want %d in %s to %s", len(f.seen), took, test.requests, test.least, test.most)
+			checkOneJob(t, f.requests)
+			if len(f.requests) != test.requests || took < test.minDuration || took > test.maxDuration {
+				t.Errorf("%d requests in %s, want %d in %s to %s", len(f.requests), took, test.requests, test.minDuration, test.maxDuration)
 			}
 		})
 	}
 }
 
-// An entry refuses a job for a while. "Not run" stays true for its id, whatever
-// request is still on its way, so the caller's next attempt takes a new one. With
-// an id of the caller's own there is no next attempt.
-func TestRefusedForAWhile(t *testing.T) {
-	f := &fake{steps: []step{refuse(429, rateLimited), complete(0, 1)}}
+// An entry refuses a job temporarily. "Not run" is final for the id, whatever
+// requests are still in flight, so the next attempt must use a new id. If the
+// caller chose the id, there is no next attempt.
+func TestRetryAfterTemporaryRefusal(t *testing.T) {
+	f := &fakeEntries{handlers: []handler{respondError(429, rateLimited), respondComplete(0, 1)}}
 	answer, took, err := run(t, f, Job{Timeout: 20 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(f.seen) != 2 || f.seen[0].ID == f.seen[1].ID {
-		t.Fatalf("requests %+v, want two under different ids", f.seen)
+	if len(f.requests) != 2 || f.requests[0].ID == f.requests[1].ID {
+		t.Fatalf("requests %+v, want two under different ids", f.requests)
 	}
-	want := &Answer{ID: f.seen[1].ID, Results: results(0, 1)}
+	want := &Answer{ID: f.requests[1].ID, Results: results(0, 1)}
 	if diff := cmp.Diff(want, answer); diff != "" {
 		t.Errorf("answer (-want +got):\n%s", diff)
 	}
-	checkOneJob(t, f.seen[1:])
+	checkOneJob(t, f.requests[1:])
 	if took < 400*time.Millisecond || took > 450*time.Millisecond {
 		t.Errorf("took %s, want 400 ms as the entry said", took)
 	}
 
-	// The second attempt has only what is left of the caller's time: beyond it, its
-	// outcome would be unknown to a caller who has gone.
-	if first, second := timeoutOfBody(t, f.seen[0].Body), timeoutOfBody(t, f.seen[1].Body); second > first-400 {
-		t.Errorf("timeouts of %d and then %d ms, want the time passed taken off", first, second)
+	// The second attempt must send only the remaining time: a job that runs past the
+	// caller's deadline would end with an unknown outcome.
+	if first, second := timeoutOfBody(t, f.requests[0].Body), timeoutOfBody(t, f.requests[1].Body); second > first-400 {
+		t.Errorf("timeouts of %d and then %d ms, want the elapsed time subtracted", first, second)
 	}
 
-	f = &fake{steps: []step{refuse(429, rateLimited), complete(0, 1)}}
-	if _, _, err = run(t, f, Job{ID: "home-1.mine"}); !errorx.IsOfType(err, NotRun) || len(f.seen) != 1 {
-		t.Errorf("%d requests and error %v, want one and not run", len(f.seen), err)
+	f = &fakeEntries{handlers: []handler{respondError(429, rateLimited), respondComplete(0, 1)}}
+	if _, _, err = run(t, f, Job{ID: "home-1.mine"}); !errorx.IsOfType(err, NotRun) || len(f.requests) != 1 {
+		t.Errorf("%d requests and error %v, want one and not run", len(f.requests), err)
 	}
 }
 
@@ -259,9 +259,9 @@
 	return sent.TimeoutMillis
 }
 
-// checkOneJob checks that every request was about the same job, and every
-// submission the same to the byte.
-func checkOneJob(t *testing.T, all []seen) {
+// checkOneJob checks that all requests refer to the same job, and that all
+// submissions are identical.
+func checkOneJob(t *testing.T, all []seenRequest) {
 	t.Helper()
 	if !strings.HasPrefix(all[0].ID, "home-1.") || len(all[0].ID) != len("home-1.")+22 {
 		t.Errorf("id %q, want the home token, a dot and 128 bits", all[0].ID)
@@ -276,69 +276,68 @@
 	}
 }
 
-// The home died before the job reached it, so no entry may start the job any
-// more under its id. When that is proven, or when nothing was ever sent, the
-// client takes another id by itself and the caller just gets the answer. When
-// the caller keeps the id, it alone may decide.
-func TestSubmitTakesAnotherHome(t *testing.T) {
+// The home died before the job reached it, so no entry may start the job under
+// its id any more. If that is proven, or if nothing was ever sent, the client
+// must retry under a new id. If the caller chose the id, it gets the error.
+func TestSubmitSwitchesHome(t *testing.T) {
 	tests := []struct {
-		name  string
-		steps []step
+		name     string
+		handlers []handler
 	}{
-		{"home proven gone", []step{moved(refuse(410, homeLost)), complete(0, 1)}},
-		{"home leaving", []step{refuse(503, leaving), moved(complete(0, 1))}},
-		{"no connection", []step{noConnection, moved(complete(0, 1))}},
+		{"home proven gone", []handler{fromOtherHome(respondError(410, homeLost)), respondComplete(0, 1)}},
+		{"home leaving", []handler{respondError(503, leaving), fromOtherHome(respondComplete(0, 1))}},
+		{"no connection", []handler{noConnection, fromOtherHome(respondComplete(0, 1))}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := &fake{steps: test.steps}
+			f := &fakeEntries{handlers: test.handlers}
 			if _, _, err := run(t, f, Job{Timeout: time.Second}); err != nil {
 				t.Fatal(err)
 			}
-			if f.seen[0].ID == f.seen[1].ID {
-				t.Errorf("both requests have id %q", f.seen[0].ID)
+			if f.requests[0].ID == f.requests[1].ID {
+				t.Errorf("both requests have id %q", f.requests[0].ID)
 			}
 		})
 	}
-	f := &fake{steps: []step{moved(refuse(410, homeLost))}}
+	f := &fakeEntries{handlers: []handler{fromOtherHome(respondError(410, homeLost))}}
 	_, _, err := run(t, f, Job{ID: "home-1.kept", Timeout: time.Second})
-	if !errorx.IsOfType(err, NotRun) || len(f.seen) != 1 {
-		t.Errorf("kept id: error %v after %d requests, want not run after one", err, len(f.seen))
+	if !errorx.IsOfType(err, NotRun) || len(f.requests) != 1 {
+		t.Errorf("kept id: error %v after %d requests, want not run after one", err, len(f.requests))
 	}
 }
 
-// A job can't be served. The caller must be told no more than is known: a stamp
-// said not to have run is printed again, and "not run" after an unanswered
-// request would put two certificates on one serial.
-func TestSubmitSaysWhatIsKnown(t *testing.T) {
+// A job can't be served. The error must not claim more than is known: callers
+// repeat a job that was reported as not run, so reporting that after an
+// unanswered request would run its tasks twice.
+func TestSubmitErrorTypes(t *testing.T) {
 	failed := jobs.Error{Code: jobs.CodeTaskFailed, Outcome: jobs.OutcomeFailed, RetryAfterMillis: 10}
 	tests := []struct {
-		name  string
-		steps []step
-		kind  *errorx.Type
-		code  jobs.Code
+		name     string
+		handlers []handler
+		kind     *errorx.Type
+		code     jobs.Code
 	}{
-		{"refused", []step{refuse(422, jobs.Error{Code: jobs.CodeDoesNotFit, Outcome: jobs.OutcomeNotRun})}, NotRun, jobs.CodeDoesNotFit},
-		{"id of another job", []step{refuse(409, jobs.Error{Code: jobs.CodeConflict, Outcome: jobs.OutcomeNotRun})}, OutcomeUnknown, jobs.CodeConflict},
-		{"failed", []step{refuse(500, failed)}, Failed, jobs.CodeTaskFailed},
-		{"home died", []step{refuse(410, jobs.Error{Code: jobs.CodeHomeLost, Outcome: jobs.OutcomeUnknown})}, OutcomeUnknown, jobs.CodeHomeLost},
-		{"error without an outcome", []step{refuse(500, jobs.Error{Code: jobs.CodeUnavailable})}, OutcomeUnknown, jobs.CodeUnavailable},
-		{"never connected", []step{noConnection}, NotRun, ""},
-		{"never answered", []step{silent}, OutcomeUnknown, ""},
-		{"refused to the end", []step{refuse(429, rateLimited)}, NotRun, jobs.CodeRateLimited},
-		{"refused, then silent", []step{refuse(429, rateLimited), silent}, OutcomeUnknown, ""},
-		{"reset, then no connection", []step{reset, noConnection}, OutcomeUnknown, ""},
-		{"runs on", []step{running}, OutcomeUnknown, ""},
-		{"half an answer to the end", []step{complete(0)}, OutcomeUnknown, ""},
+		{"refused", []handler{respondError(422, jobs.Error{Code: jobs.CodeDoesNotFit, Outcome: jobs.OutcomeNotRun})}, NotRun, jobs.CodeDoesNotFit},
+		{"id of another job", []handler{respondError(409, jobs.Error{Code: jobs.CodeConflict, Outcome: jobs.OutcomeNotRun})}, OutcomeUnknown, jobs.CodeConflict},
+		{"failed", []handler{respondError(500, failed)}, Failed, jobs.CodeTaskFailed},
+		{"home died", []handler{respondError(410, jobs.Error{Code: jobs.CodeHomeLost, Outcome: jobs.OutcomeUnknown})}, OutcomeUnknown, jobs.CodeHomeLost},
+		{"error without an outcome", []handler{respondError(500, jobs.Error{Code: jobs.CodeUnavailable})}, OutcomeUnknown, jobs.CodeUnavailable},
+		{"never connected", []handler{noConnection}, NotRun, ""},
+		{"never answered", []handler{noResponse}, OutcomeUnknown, ""},
+		{"refused to the end", []handler{respondError(429, rateLimited)}, NotRun, jobs.CodeRateLimited},
+		{"refused, then silent", []handler{respondError(429, rateLimited), noResponse}, OutcomeUnknown, ""},
+		{"reset, then no connection", []handler{connectionReset, noConnection}, OutcomeUnknown, ""},
+		{"runs on", []handler{respondRunning}, OutcomeUnknown, ""},
+		{"half an answer to the end", []handler{respondComplete(0)}, OutcomeUnknown, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := &fake{steps: test.steps}
+			f := &fakeEntries{handlers: test.handlers}
 			answer, took, err := run(t, f, Job{Timeout: 5 * time.Second})
 			if answer != nil || !errorx.IsOfType(err, test.kind) || CodeOf(err) != test.code {
 				t.Errorf("answer %v, error %v, code %q; want %s, code %q", answer, err, CodeOf(err), test.kind, test.code)
 			}
-			if took > 5*time.Second+DefaultSilence {
+			if took > 5*time.Second+DefaultResponseTimeout {
 				t.Errorf("took %s, past the deadline", took)
 			}
 			if JobOf(err) == "" {
@@ -348,12 +347,12 @@
 	}
 }
 
-// The entries stay unreachable while many jobs come. If each job were retried as
-// often as its deadline allows, the entries would meet a multiple of the load
-// when they are back; the budget keeps the retries to a share of the jobs.
+// The entries are unreachable while many jobs are submitted. If each job were
+// retried as often as its deadline allows, recovering entries would face a
+// multiple of the load; the budget must limit retries to a fraction of the jobs.
 func TestRetriesStayInBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{start: time.Now(), home: "home-1", steps: []step{status(http.StatusBadGateway, "")}}
+		f := &fakeEntries{start: time.Now(), home: "home-1", handlers: []handler{respondText(http.StatusBadGateway, "")}}
 		c, err := New(Options{Addresses: []string{"http://10.0.0.1:1"}, HTTPClient: &http.Client{Transport: f}})
 		if err != nil {
 			t.Fatal(err)
@@ -365,16 +364,16 @@
 				t.Fatal("no error")
 			}
 		}
-		passed := time.Since(f.start).Seconds()
-		most := submissions + budgetBurst + int(submissions*budgetPerJob+passed*budgetPerSecond)
-		if len(f.seen) > most || len(f.seen) <= submissions {
-			t.Errorf("%d requests for %d jobs in %.1f s, want some retries and at most %d", len(f.seen), submissions, passed, most)
+		elapsed := time.Since(f.start).Seconds()
+		maxRequests := submissions + budgetBurst + int(submissions*budgetPerJob+elapsed*budgetPerSecond)
+		if len(f.requests) > maxRequests || len(f.requests) <= submissions {
+			t.Errorf("%d requests for %d jobs in %.1f s, want some retries and at most %d", len(f.requests), submissions, elapsed, maxRequests)
 		}
 	})
 }
 
-// Over real sockets: the entry dies in the middle of an answer, and the next
-// request finds another one.
+// Over real sockets: the entry dies in the middle of a response, and the next
+// request must succeed.
 func TestSubmitOverSockets(t *testing.T) {
 	requests := 0
 	mux := http.NewServeMux()
@@ -406,24 +405,24 @@
 
 func TestGetAndCancel(t *testing.T) {
 	tests := []struct {
-		name string
-		step step
-		get  *errorx.Type // of Get's error; nil: none
-		stop *errorx.Type // of Cancel's error
+		name    string
+		handler handler
+		get     *errorx.Type // of Get's error; nil: none
+		stop    *errorx.Type // of Cancel's error
 	}{
-		{"complete", complete(0, 1), nil, nil},
-		{"running", running, nil, nil},
-		{"cancelled", refuse(409, jobs.Error{Code: jobs.CodeCancelled, Outcome: jobs.OutcomeFailed}), Failed, nil},
-		{"unknown", refuse(404, jobs.Error{Code: jobs.CodeNotFound}), NotFound, NotFound},
-		{"other job", otherJob, OutcomeUnknown, nil},
-		{"silent", silent, OutcomeUnknown, OutcomeUnknown},
-		{"no error body", status(502, "<html>"), OutcomeUnknown, OutcomeUnknown},
+		{"complete", respondComplete(0, 1), nil, nil},
+		{"running", respondRunning, nil, nil},
+		{"cancelled", respondError(409, jobs.Error{Code: jobs.CodeCancelled, Outcome: jobs.OutcomeFailed}), Failed, nil},
+		{"unknown", respondError(404, jobs.Error{Code: jobs.CodeNotFound}), NotFound, NotFound},
+		{"other job", respondOtherJob, OutcomeUnknown, nil},
+		{"silent", noResponse, OutcomeUnknown, OutcomeUnknown},
+		{"no error body", respondText(502, "<html>"), OutcomeUnknown, OutcomeUnknown},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &fake{start: time.Now(), home: "home-1", steps: []step{test.step}}
-				c, err := New(Options{Addresses: []string{"http://10.0.0.1:1"}, HTTPClient: &http.Client{Transport: f}, Silence: 3 * time.Second})
+				f := &fakeEntries{start: time.Now(), home: "home-1", handlers: []handler{test.handler}}
+				c, err := New(Options{Addresses: []string{"http://10.0.0.1:1"}, HTTPClient: &http.Client{Transport: f}, ResponseTimeout: 3 * time.Second})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -442,20 +441,20 @@
 	}
 }
 
-// A caller sends a key of its own, crashes, and sends it again. If the second
-// sending claimed to be the first, an entry that took over the key from one that
-// died would start the job again, and a stamp would be on two certificates.
-func TestFirstSentIsTheCallers(t *testing.T) {
+// A caller sends a key of its own, crashes, and sends it again. If the client
+// replaced FirstSent with the current time, an entry that took over the key from
+// one that died would start the job a second time.
+func TestFirstSentIsUnchanged(t *testing.T) {
 	first := time.UnixMilli(1_700_000_000_123)
 	for _, test := range []struct {
 		job  Job
 		want int64
 	}{{Job{ID: "certificate-7", FirstSent: first}, 1_700_000_000_123}, {Job{ID: "certificate-7"}, 0}, {Job{}, 0}} {
-		f := &fake{steps: []step{reset, complete(0, 1)}}
+		f := &fakeEntries{handlers: []handler{connectionReset, respondComplete(0, 1)}}
 		if _, _, err := run(t, f, test.job); err != nil {
 			t.Fatal(err)
 		}
-		for _, request := range f.seen {
+		for _, request := range f.requests {
 			var sent jobs.SubmitRequest
 			if err := json.Unmarshal([]byte(request.Body), &sent); err != nil {
 				t.Fatal(err)
--- a/client/errors.go
+++ b/client/errors.go
@@ -12,25 +12,25 @@
 
 // Types of this package's errors.
 var (
-	// Misuse means that options or a job are invalid. Nothing was sent.
+	// Misuse means that the options or the job are invalid. Nothing was sent.
 	Misuse = namespace.NewType("misuse")
-	// NotRun means that no task of the job has started, and none will under
-	// its id.
+	// NotRun means that no task of the job has started, and none will start
+	// under its id.
 	NotRun = namespace.NewType("not_run")
 	// Failed means that the job is over without an answer; tasks may have run.
 	Failed = namespace.NewType("failed")
-	// OutcomeUnknown means that tasks may have run or may run yet.
+	// OutcomeUnknown means that tasks may have run or may still run.
 	OutcomeUnknown = namespace.NewType("outcome_unknown")
-	// NotFound means that no entry knows a job that was asked for by id.
+	// NotFound means that no entry knows the requested job id.
 	NotFound = namespace.NewType("not_found")
 )
 
-// Types of one attempt's faults; callers see them as causes only.
+// Error types of a single attempt; callers see them only as causes.
 var (
-	// unsent means that no connection was made: nothing reached an entry.
+	// unsent means that no connection was established, so nothing reached an entry.
 	unsent = namespace.NewType("unsent")
-	// lost means that the request may have reached an entry, and no whole
-	// answer came back.
+	// lost means that the request may have reached an entry, but no complete
+	// response arrived.
 	lost = namespace.NewType("lost")
 )
 
@@ -41,18 +41,18 @@
 	propertyNeverSent  = errorx.RegisterProperty("never_sent")
 )
 
-// CodeOf returns the code that an entry gave for err, or "".
+// CodeOf returns the code that an entry returned with err, or "".
 func CodeOf(err error) jobs.Code {
 	return property[jobs.Code](err, propertyCode)
 }
 
-// JobOf returns the id of the job that err is about, or "".
+// JobOf returns the id of the job that err refers to, or "".
 func JobOf(err error) string {
 	return property[string](err, propertyJob)
 }
 
-// RetryAfterOf returns when submitting again may help, as the entry said; zero
-// if it said nothing.
+// RetryAfterOf returns the delay after which the entry suggests another
+// submission; zero if it suggested none.
 func RetryAfterOf(err error) time.Duration {
 	return property[time.Duration](err, propertyRetryAfter)
 }
@@ -63,18 +63,18 @@
 	return value
 }
 
-// fromEntry turns an entry's error body into one of this package's errors.
+// fromEntry converts an entry's error body to one of this package's errors.
 func fromEntry(id string, e jobs.Error) *errorx.Error {
-	return typeOf(e).New("%s: %s", e.Code, e.Message).
+	return errorType(e).New("%s: %s", e.Code, e.Message).
 		WithProperty(propertyJob, id).
 		WithProperty(propertyCode, e.Code).
 		WithProperty(propertyRetryAfter, time.Duration(e.RetryAfterMillis)*time.Millisecond)
 }
 
-// typeOf takes the entry's word for the outcome, and no word for unknown. A
-// conflict's word is about the body that was sent; another job has the id, and
-// may have run.
-func typeOf(e jobs.Error) *errorx.Type {
+// errorType maps the outcome that the entry reported to an error type; without an
+// outcome it is OutcomeUnknown. The outcome of a conflict refers to the body
+// that was sent, but another job has the id and may have run.
+func errorType(e jobs.Error) *errorx.Type {
 	switch {
 	case e.Code == jobs.CodeConflict:
 		return OutcomeUnknown
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// maxAnswerBytes bounds what is read of one response.
-	maxAnswerBytes = 256 << 20
-	// backoffBase and backoffMost bound the pause before a retry, which is
-	// drawn evenly from zero to the base doubled with each attempt.
+	// maxResponseBytes limits how much of a response is read.
+	maxResponseBytes = 256 << 20
+	// backoffBase and backoffMost bound the pause before a retry, which is drawn
+	// uniformly between zero and the base doubled with each attempt.
 	backoffBase = 50 * time.Millisecond
-	backoffMost = 2 * time.Second
+	backoffMax  = 2 * time.Second
 )
 
-// reply is one whole response.
+// reply is one complete response.
 type reply struct {
 	status int
 	body   []byte
 }
 
-// exchange sends one request and reads its whole response. wait is how long the
-// entry may take on purpose. Errors are of type unsent or lost; after one, the
-// next exchange goes to the next address.
+// exchange sends one request and reads its complete response. wait is how long
+// the entry may hold the request. Errors are of type unsent or lost; after an
+// error the next exchange uses the next address.
 func (c *Client) exchange(ctx context.Context, method, path string, body []byte, wait time.Duration) (*reply, error) {
-	// A connection can go silent for good while new ones work: a middlebox
-	// drops its state, and the request just hangs. No answer within the wait
-	// and some slack is the sign; ending the request closes the connection.
-	ctx, cancel := context.WithTimeout(ctx, wait+c.silence)
+	// A middlebox that loses its connection state leaves requests hanging while
+	// new connections work. A request without a response within wait plus
+	// c.responseTimeout is therefore cancelled, which closes the connection.
+	ctx, cancel := context.WithTimeout(ctx, wait+c.responseTimeout)
 	defer cancel()
-	base := c.bases[c.next.Load()%uint64(len(c.bases))]
+	base := c.baseURLs[c.next.Load()%uint64(len(c.baseURLs))]
 	request, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, unsent.Wrap(err, "request")
@@ -50,15 +50,15 @@
 	}
 	answer, err := c.roundTrip(request)
 	if err != nil {
-		c.leaveEntry()
+		c.switchEntry()
 		return nil, err
 	}
 	return answer, nil
 }
 
-// leaveEntry makes the next exchange try another entry over a new connection:
-// idle ones of the same path are as likely dead as the one that failed.
-func (c *Client) leaveEntry() {
+// switchEntry makes the next exchange use another entry and a new connection:
+// idle connections on the same path are probably dead as well.
+func (c *Client) switchEntry() {
 	c.next.Add(1)
 	c.home.Store(nil)
 	c.http.CloseIdleConnections()
@@ -74,23 +74,23 @@
 		return nil, lost.Wrap(err, "no response")
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, lost.Wrap(err, "response cut short")
 	}
 	if token := response.Header.Get(jobs.HeaderHome); token != "" {
-		c.home.Store(&home{token: token, heard: time.Now()})
+		c.home.Store(&home{token: token, receivedAt: time.Now()})
 	}
 	return &reply{status: response.StatusCode, body: body}, nil
 }
 
 // pause waits before the retry that follows attempt, at least for hint. It
-// fails at once when ctx would end first.
+// returns an error at once if ctx would end first.
 func (c *Client) pause(ctx context.Context, attempt int, hint time.Duration) error {
-	most := min(backoffBase<<min(attempt, 10), backoffMost)
-	// Jitter on top of the hint too: callers refused together are told the
-	// same hint, and would come back together.
-	delay := hint + time.Duration(rand.Int64N(int64(most)))
+	maxDelay := min(backoffBase<<min(attempt, 10), backoffMax)
+	// The hint gets jitter too: callers that were refused together got the same
+	// hint, and would otherwise return together.
+	delay := hint + time.Duration(rand.Int64N(int64(maxDelay)))
 	delay = max(delay, c.budget.take(time.Now()))
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= delay {
 		return context.DeadlineExceeded
--- a/client/fetch.go
+++ b/client/fetch.go
@@ -9,13 +9,13 @@
 	"github.com/papayahoist/papayahoist/api/jobs"
 )
 
-// Get asks once for the answer of a job of the contract, waiting up to
-// Options.Wait for it. The answer is nil while the job runs. The caller checks
-// that there is a result for each task it submitted. Errors are of type NotRun,
-// Failed, OutcomeUnknown or NotFound; OutcomeUnknown also when no entry could be
-// asked before ctx ended.
+// Get requests the answer of a job of the contract, waiting up to Options.Wait
+// for it. The answer is nil while the job runs. The caller checks that there is
+// a result for each task it submitted. Errors are of type NotRun, Failed,
+// OutcomeUnknown or NotFound; OutcomeUnknown also if no entry responded before
+// ctx ended.
 func (c *Client) Get(ctx context.Context, contract, id string) (*Answer, error) {
-	reply, err := c.insist(ctx, id, func(ctx context.Context) (*reply, error) {
+	reply, err := c.retryUntilResponse(ctx, id, func(ctx context.Context) (*reply, error) {
 		return c.get(ctx, contract, id)
 	})
 	if err != nil {
@@ -25,20 +25,20 @@
 	if err != nil || response.State == jobs.StateRunning {
 		return nil, err
 	}
-	answer, err := whole(*response, id, len(response.Results))
+	answer, err := completeAnswer(*response, id, len(response.Results))
 	if err != nil {
 		return nil, OutcomeUnknown.Wrap(err, "job %s", id).WithProperty(propertyJob, id)
 	}
 	return answer, nil
 }
 
-// Cancel asks that a job's waiting tasks are not started and its running tasks
-// stopped. A nil error means that the entry took the request; what became of
-// the job is its answer's to say. Errors are of type Failed, NotFound or
+// Cancel requests that a job's waiting tasks are not started and its running
+// tasks are stopped. A nil error means that the entry accepted the request; the
+// job's answer states its outcome. Errors are of type Failed, NotFound or
 // OutcomeUnknown.
 func (c *Client) Cancel(ctx context.Context, contract, id string) error {
 	query := url.Values{jobs.ParamContract: {contract}}
-	reply, err := c.insist(ctx, id, func(ctx context.Context) (*reply, error) {
+	reply, err := c.retryUntilResponse(ctx, id, func(ctx context.Context) (*reply, error) {
 		return c.exchange(ctx, http.MethodDelete, jobs.PathJob(id)+"?"+query.Encode(), nil, 0)
 	})
 	if err != nil {
@@ -57,9 +57,9 @@
 	return fromEntry(id, refusal)
 }
 
-// insist repeats an idempotent exchange until a response arrives or ctx ends.
-func (c *Client) insist(ctx context.Context, id string, send func(context.Context) (*reply, error)) (*reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, jobs.MaxWait+c.silence)
+// retryUntilResponse repeats an idempotent exchange until a response arrives or ctx ends.
+func (c *Client) retryUntilResponse(ctx context.Context, id string, send func(context.Context) (*reply, error)) (*reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, jobs.MaxWait+c.responseTimeout)
 	defer cancel()
 	for attempt := 0; ; attempt++ {
 		reply, err := send(ctx)
--- a/client/job.go
+++ b/client/job.go
@@ -7,27 +7,28 @@
 	"github.com/papayahoist/papayahoist/api/jobs"
 )
 
-// Job is what Submit sends.
+// Job is a job to submit.
 type Job struct {
-	// ID comes from NewID, or is a key of the caller's own. Empty: Submit makes
-	// one.
+	// ID comes from NewID or is a key of the caller's own. If it is empty, Submit
+	// creates one.
 	ID string
-	// FirstSent is when the caller first sent a key of its own; other ids don't
-	// need it. It must be the same each time the key is sent, also after a restart
-	// of the caller: a later time makes entries believe that an entry which has
-	// died can't have started the job, and its tasks may start twice. Zero: the
-	// entries can't vouch for the key, and answer "outcome unknown".
+	// FirstSent is when the caller first sent an ID of its own; ids from NewID
+	// don't need it. It must be the same each time the ID is sent, also after a
+	// restart of the caller. A later time lets entries conclude that an entry
+	// which has died can't have started the job, and its tasks may start twice.
+	// With zero the entries can't rule out an earlier start, and answer
+	// "outcome unknown".
 	FirstSent time.Time
 	Contract  string
-	// Kind groups tasks that behave alike.
+	// Kind groups tasks with similar resource use.
 	Kind string
-	// Timeout ends the job when it passes; zero takes what remains of the
-	// context's deadline, or the contract's default if it has none.
+	// Timeout is the limit for the whole job. Zero means the time that remains
+	// until the context's deadline, or the contract's default without one.
 	Timeout time.Duration
 	Tasks   []jobs.Task
 }
 
-// Answer is a job's whole answer.
+// Answer is the complete answer of a job.
 type Answer struct {
 	ID string
 	// Results holds one result per task, in task order.
@@ -50,8 +51,9 @@
 	return nil
 }
 
-// body encodes the job. It is made once: a second attempt that differed, in the
-// timeout that remains for example, would be another job under the same id.
+// body encodes the job. It is called once per id: a second attempt that
+// differed, for example in the remaining timeout, would be another job under
+// the same id.
 func (j Job) body(id string, timeout, wait time.Duration) ([]byte, error) {
 	request := jobs.SubmitRequest{
 		ID:            id,
@@ -78,9 +80,9 @@
 	return uint32((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// whole turns a response into an answer, if it is this job's and has a result
-// for each task.
-func whole(response jobs.Response, id string, tasks int) (*Answer, error) {
+// completeAnswer converts a response to an answer if it belongs to the job and has
+// exactly one result for each task.
+func completeAnswer(response jobs.Response, id string, tasks int) (*Answer, error) {
 	if response.ID != id {
 		return nil, lost.New("answer is for job %q", response.ID)
 	}
@@ -91,7 +93,7 @@
 	seen := make([]bool, tasks)
 	for _, result := range response.Results {
 		if int64(result.Task) >= int64(tasks) || seen[result.Task] {
-			return nil, lost.New("answer has a result too many for task %d", result.Task)
+			return nil, lost.New("answer has an unexpected or duplicate result for task %d", result.Task)
 		}
 		seen[result.Task] = true
 		results[result.Task] = result
--- a/client/submit.go
+++ b/client/submit.go
@@ -14,28 +14,28 @@
 	"github.com/papayahoist/papayahoist/api/jobs"
 )
 
-// Submit sends a job and waits for its whole answer, until the job's timeout or
-// the end of ctx. Ending ctx does not cancel the job. Errors are of type
+// Submit sends a job and waits for its complete answer, until the job's timeout
+// or the end of ctx. Ending ctx does not cancel the job. Errors are of type
 // Misuse, NotRun, Failed or OutcomeUnknown.
 func (c *Client) Submit(ctx context.Context, job Job) (*Answer, error) {
 	if err := job.check(); err != nil {
 		return nil, err
 	}
 	timeout := timeoutOf(ctx, job)
-	ctx, cancel := c.bound(ctx, timeout)
+	ctx, cancel := c.withTimeout(ctx, timeout)
 	defer cancel()
 	c.budget.deposit()
 	end := time.Now().Add(timeout)
 	for attempt := 0; ; attempt++ {
 		answer, err := c.submitOnce(ctx, job, timeout)
-		if err == nil || job.ID != "" || !renewable(err) {
+		if err == nil || job.ID != "" || !retryableWithNewID(err) {
 			return answer, err
 		}
 		hint := RetryAfterOf(err)
-		if homeGone(err) {
-			// The hint is for those who come back to the entry that gave it.
+		if homeUnavailable(err) {
+			// The hint only applies to the entry that gave it.
 			hint = 0
-			c.leaveEntry()
+			c.switchEntry()
 		}
 		if c.pause(ctx, attempt, hint) != nil {
 			return nil, err
@@ -43,22 +43,23 @@
 		if timeout == 0 {
 			continue
 		}
-		// Under a new id the entry counts anew. With the whole timeout again it would
-		// go on with the job when this caller has given up, whose outcome is then
-		// unknown for no other reason.
+		// The timeout restarts at the entry with a new id. Sending the full timeout
+		// again would let the job run on after this caller's deadline, and leave its
+		// outcome unknown.
 		if timeout = time.Until(end); timeout < time.Millisecond {
 			return nil, err
 		}
 	}
 }
 
-// renewable says that an id is of no use any more, and that nothing ran or will
-// under it: its job may be sent under another one.
-func renewable(err error) bool {
-	return homeGone(err) || neverSent(err) || (errorx.IsOfType(err, NotRun) && RetryAfterOf(err) > 0)
+// retryableWithNewID reports whether the job may be sent under another id: the
+// error proves that nothing ran or will run under the current one, and retrying
+// with the current one can't succeed.
+func retryableWithNewID(err error) bool {
+	return homeUnavailable(err) || neverSent(err) || (errorx.IsOfType(err, NotRun) && RetryAfterOf(err) > 0)
 }
 
-// timeoutOf is the timeout that the entry is told, zero for the contract's.
+// timeoutOf returns the timeout to send; zero selects the contract's default.
 func timeoutOf(ctx context.Context, job Job) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -71,20 +72,21 @@
 	return min(job.Timeout, remaining)
 }
 
-// bound ends ctx a little after the job's timeout, so that the entry's word on
-// what became of the job still arrives.
-func (c *Client) bound(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout limits ctx to slightly more than the job's timeout, so that the
+// entry's final response can still arrive.
+func (c *Client) withTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	timeout = cmp.Or(timeout, jobs.MaxTimeout)
-	return context.WithTimeout(ctx, timeout+c.silence)
+	return context.WithTimeout(ctx, timeout+c.responseTimeout)
 }
 
-// homeGone says that a job was refused because its home will take no more jobs.
-func homeGone(err error) bool {
+// homeUnavailable reports whether a job was refused because its home accepts no
+// more jobs.
+func homeUnavailable(err error) bool {
 	code := CodeOf(err)
 	return errorx.IsOfType(err, NotRun) && (code == jobs.CodeHomeLost || code == jobs.CodeLeaving)
 }
 
-// neverSent says that a job left the client under no attempt.
+// neverSent reports whether no attempt sent the job to an entry.
 func neverSent(err error) bool {
 	_, found := errorx.ExtractProperty(err, propertyNeverSent)
 	return found
@@ -93,11 +95,11 @@
 func (c *Client) submitOnce(ctx context.Context, job Job, timeout time.Duration) (*Answer, error) {
 	id := job.ID
 	if id == "" {
-		made, err := c.NewID(ctx)
+		generated, err := c.NewID(ctx)
 		if err != nil {
 			return nil, err
 		}
-		id = made
+		id = generated
 	}
 	body, err := job.body(id, timeout, c.wait)
 	if err != nil {
@@ -105,7 +107,7 @@
 	}
 	s := submission{
 		client: c, id: id, contract: job.Contract, body: body,
-		tasks: len(job.Tasks), kept: job.ID != "",
+		tasks: len(job.Tasks), callerChoseID: job.ID != "",
 	}
 	return s.run(ctx)
 }
@@ -117,24 +119,26 @@
 	contract string
 	body     []byte
 	tasks    int
-	// kept: the id is the caller's and must be tried to the end.
-	kept bool
+	// callerChoseID is set if the caller chose the id; all retries then use this id.
+	callerChoseID bool
 
-	// accepted: an entry said that the job runs, so it need only be asked for.
+	// accepted is set once an entry reported the job as running, so that further
+	// requests only ask for its answer.
 	accepted bool
-	// exposed: an entry may have the job, and its word has not been heard since.
-	exposed bool
-	// word is the last that an entry said of the job.
-	word error
+	// unconfirmed is set if an entry may have received the job and has not responded
+	// since.
+	unconfirmed bool
+	// lastError is the error that an entry last returned for the job.
+	lastError error
 }
 
-// verdict is what one attempt leads to.
-type verdict struct {
-	answer *Answer
-	err    error
-	final  bool
-	hint   time.Duration // least pause before the next attempt
-	poll   bool          // the entry waited as asked; ask again at once
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	answer   *Answer
+	err      error
+	final    bool
+	minPause time.Duration // minimum pause before the next attempt
+	poll     bool          // the job still runs: ask again without a pause
 }
 
 func (s *submission) run(ctx context.Context) (*Answer, error) {
@@ -144,29 +148,29 @@
 		if v.final {
 			return v.answer, v.err
 		}
-		if !s.kept && !s.exposed && s.word == nil {
-			return nil, s.giveUp(ctx, v.err)
+		if !s.callerChoseID && !s.unconfirmed && s.lastError == nil {
+			return nil, s.finalError(ctx, v.err)
 		}
 		if v.poll && time.Since(start) >= s.client.wait/2 {
 			attempt = 0
 			continue
 		}
-		if err := s.client.pause(ctx, attempt, v.hint); err != nil {
-			return nil, s.giveUp(ctx, v.err)
+		if err := s.client.pause(ctx, attempt, v.minPause); err != nil {
+			return nil, s.finalError(ctx, v.err)
 		}
 		attempt++
 	}
 }
 
 // attempt sends the job, or asks for its answer once it is known to run.
-func (s *submission) attempt(ctx context.Context) verdict {
+func (s *submission) attempt(ctx context.Context) attemptResult {
 	reply, err := s.send(ctx)
 	if err != nil {
-		s.exposed = s.exposed || errorx.IsOfType(err, lost)
-		return verdict{err: err}
+		s.unconfirmed = s.unconfirmed || errorx.IsOfType(err, lost)
+		return attemptResult{err: err}
 	}
-	v := s.judge(reply)
-	s.exposed = !v.final && s.word == nil
+	v := s.interpret(reply)
+	s.unconfirmed = !v.final && s.lastError == nil
 	return v
 }
 
@@ -182,60 +186,60 @@
 	return c.exchange(ctx, http.MethodGet, jobs.PathJob(id)+"?"+query.Encode(), nil, c.wait)
 }
 
-// judge reads an entry's response.
-func (s *submission) judge(reply *reply) verdict {
-	s.word = nil
+// interpret evaluates an entry's response.
+func (s *submission) interpret(reply *reply) attemptResult {
+	s.lastError = nil
 	switch reply.status {
 	case http.StatusOK, http.StatusAccepted:
-		return s.judgeAnswer(reply.body)
+		return s.interpretAnswer(reply.body)
 	default:
-		return s.judgeRefusal(reply)
+		return s.interpretRefusal(reply)
 	}
 }
 
-func (s *submission) judgeAnswer(body []byte) verdict {
+func (s *submission) interpretAnswer(body []byte) attemptResult {
 	var response jobs.Response
 	if err := json.Unmarshal(body, &response); err != nil {
-		return verdict{err: lost.Wrap(err, "answer")}
+		return attemptResult{err: lost.Wrap(err, "answer")}
 	}
 	switch response.State {
 	case jobs.StateRunning:
 		s.accepted = true
-		return verdict{err: lost.New("the job was still running"), poll: true}
+		return attemptResult{err: lost.New("the job was still running"), poll: true}
 	case jobs.StateComplete:
-		answer, err := whole(response, s.id, s.tasks)
-		return verdict{answer: answer, err: err, final: err == nil}
+		answer, err := completeAnswer(response, s.id, s.tasks)
+		return attemptResult{answer: answer, err: err, final: err == nil}
 	default:
-		return verdict{err: lost.New("answer in state %q", response.State)}
+		return attemptResult{err: lost.New("answer in state %q", response.State)}
 	}
 }
 
-func (s *submission) judgeRefusal(reply *reply) verdict {
+func (s *submission) interpretRefusal(reply *reply) attemptResult {
 	refusal, err := parseRefusal(reply)
 	if err != nil {
-		return verdict{err: err}
+		return attemptResult{err: err}
 	}
 	if refusal.Code == jobs.CodeNotFound && s.accepted {
-		// No entry knows the job any more. Sending it again asks its home, and
-		// starts nothing twice.
+		// No entry knows the job any more. Submitting it again asks its home, and
+		// can't start it twice.
 		s.accepted = false
-		return verdict{err: lost.New("the job is not known any more")}
+		return attemptResult{err: lost.New("the job is not known any more")}
 	}
-	s.word = fromEntry(s.id, refusal)
-	if errorx.IsOfType(s.word, NotFound) {
-		s.word = OutcomeUnknown.Wrap(s.word, "submission").WithProperty(propertyJob, s.id)
+	s.lastError = fromEntry(s.id, refusal)
+	if errorx.IsOfType(s.lastError, NotFound) {
+		s.lastError = OutcomeUnknown.Wrap(s.lastError, "submission").WithProperty(propertyJob, s.id)
 	}
 	hint := time.Duration(refusal.RetryAfterMillis) * time.Millisecond
-	// A home that doesn't reply leaves its job's results to be gathered, which
-	// takes the whole job.
+	// If the home doesn't respond, another entry collects the job's results, for
+	// which it needs the whole job.
 	s.accepted = false
-	// "Not run" stays true for the id: asking again under it gets the same word.
-	again := hint > 0 && refusal.Outcome != jobs.OutcomeFailed && refusal.Outcome != jobs.OutcomeNotRun
-	return verdict{err: s.word, final: !again, hint: hint}
+	// "Not run" is final for the id: another request would get the same response.
+	retry := hint > 0 && refusal.Outcome != jobs.OutcomeFailed && refusal.Outcome != jobs.OutcomeNotRun
+	return attemptResult{err: s.lastError, final: !retry, minPause: hint}
 }
 
-// parseRefusal reads an error body. One that no entry wrote, a balancer's page
-// for example, says nothing about the job.
+// parseRefusal decodes an error body. A response without one, such as a load
+// balancer's error page, states nothing about the job.
 func parseRefusal(reply *reply) (jobs.Error, error) {
 	var refusal jobs.Error
 	err := json.Unmarshal(reply.body, &refusal)
@@ -245,15 +249,16 @@
 	return refusal, nil
 }
 
-// giveUp says what is known when time is up.
-func (s *submission) giveUp(ctx context.Context, last error) error {
+// finalError returns the error that states what is known when the submission is
+// abandoned.
+func (s *submission) finalError(ctx context.Context, last error) error {
 	cause := errors.Join(context.Cause(ctx), last)
 	switch {
-	case s.exposed:
+	case s.unconfirmed:
 		return OutcomeUnknown.Wrap(cause, "no answer to job %s in time", s.id).
 			WithProperty(propertyJob, s.id)
-	case s.word != nil:
-		return s.word
+	case s.lastError != nil:
+		return s.lastError
 	default:
 		return NotRun.Wrap(cause, "job %s was never sent", s.id).
 			WithProperty(propertyJob, s.id).
