--- a/api/jobs/jobs.go
+++ b/api/jobs/jobs.go
@@ -1,10 +1,10 @@
 // Package jobs holds the callers' HTTP interface: paths, headers and JSON
-// bodies. Entries serve it and the client package speaks it.
+// bodies. Entries serve it; package client implements the caller's side.
 //
 //	POST   /v1/jobs                submit a job and wait for its answer
-//	GET    /v1/jobs/{id}?contract=&wait= wait for the answer of a job submitted before
+//	GET    /v1/jobs/{id}?contract=&wait= wait for the answer of a submitted job
 //	DELETE /v1/jobs/{id}?contract= cancel a job
-//	GET    /v1/home                learn the home token
+//	GET    /v1/home                get the home token of the entry
 package jobs
 
 import (
@@ -22,47 +22,49 @@
 const (
 	// ParamContract names the job's contract.
 	ParamContract = "contract"
-	// ParamWait says how long GET waits for the answer: a duration such as
-	// "2s", at most MaxWait, which is also the default.
+	// ParamWait is how long GET waits for the answer: a duration such as "2s",
+	// at most MaxWait, which is also the default.
 	ParamWait = "wait"
 )
 
 // PathJob returns the path of one job.
 func PathJob(id string) string { return PathJobs + "/" + url.PathEscape(id) }
 
-// HeaderHome is set on every response: the incarnation of the entry that
-// answered. A caller puts it in front of its own part to make a job id.
+// HeaderHome is set on every response: the home token of the entry that
+// responded, which is its incarnation. A job id is this token, a dot, and a
+// part that the caller chooses.
 const HeaderHome = "Papayahoist-Home"
 
 // Limits of a submission.
 const (
-	// MaxTasks is the most tasks a job may have.
+	// MaxTasks is the maximum number of tasks in a job.
 	MaxTasks = 160
-	// MaxBody is the largest request body, in bytes.
+	// MaxBody is the maximum size of a request body, in bytes.
 	MaxBody = 8 << 20
-	// MaxTimeout is the longest deadline a job may ask for.
+	// MaxTimeout is the longest timeout that a job may request.
 	MaxTimeout = 10 * time.Minute
-	// MaxWait bounds one long poll for an answer.
+	// MaxWait limits one long poll for an answer.
 	MaxWait = 30 * time.Second
-	// MaxIDLength bounds a job id, in bytes.
+	// MaxIDLength is the maximum length of a job id, in bytes.
 	MaxIDLength = 128
 )
 
 // SubmitRequest is the body of POST /v1/jobs.
 type SubmitRequest struct {
-	// ID names the job: home token, a dot, and the caller's own part. Empty:
-	// the entry makes one, and a resubmission is then a new job.
+	// ID identifies the job: home token, a dot, and the caller's own part. If it
+	// is empty, the entry creates one, and a resubmission is then a new job.
 	ID string `json:"id,omitempty"`
-	// Contract the job is accounted to.
+	// Contract is the name of the contract that the job is accounted to.
 	Contract string `json:"contract"`
-	// Kind groups tasks that behave alike; sizes are learned per kind.
+	// Kind groups tasks with similar resource use; task sizes are estimated per
+	// kind.
 	Kind string `json:"kind"`
-	// TimeoutMillis ends the job when it passes; zero takes the contract's default.
+	// TimeoutMillis limits the whole job; zero means the contract's default.
 	TimeoutMillis uint32 `json:"timeout_ms,omitempty"`
 	// WaitMillis is how long this request waits for the answer, at most MaxWait.
 	WaitMillis uint32 `json:"wait_ms,omitempty"`
-	// FirstSentUnixMillis is when the caller first sent this id. Only used for
-	// ids that name no home.
+	// FirstSentUnixMillis is when the caller first sent this id. It is only used
+	// for ids without a home token.
 	FirstSentUnixMillis int64  `json:"first_sent_unix_ms,omitempty"`
 	Tasks               []Task `json:"tasks"`
 }
@@ -75,7 +77,7 @@
 	RunMillis   uint32 `json:"run_ms,omitempty"`
 }
 
-// State of a job in a Response.
+// State is the state of a job in a Response.
 type State string
 
 // States of a job.
@@ -85,35 +87,37 @@
 	StateEnded    State = "ended"
 )
 
-// Response is the body of every 200 and 202: the job's whole answer, or that it
-// still runs.
+// Response is the body of every 200 and 202: the complete answer of the job, or
+// the state of a job that still runs.
 type Response struct {
 	ID      string   `json:"id"`
 	State   State    `json:"state"`
 	Results []Result `json:"results,omitempty"`
 }
 
-// Result is one task's result, at its position in the job.
+// Result is the result of one task, identified by its index in the job.
 type Result struct {
 	Task      uint32 `json:"task"`
 	Body      []byte `json:"body,omitempty"`
 	RunMillis uint32 `json:"run_ms"`
 }
 
-// Outcome says what is known about work that was not completed.
+// Outcome states what is known about a job that was not completed.
 type Outcome string
 
 // Outcomes of a job that is not complete.
 const (
-	// OutcomeNotRun is said only with proof: no task has started, none will.
+	// OutcomeNotRun is only reported with proof that no task has started or
+	// will start.
 	OutcomeNotRun Outcome = "not run"
-	// OutcomeFailed means tasks may have run, and the job is over.
+	// OutcomeFailed means that tasks may have run, and that the job is over.
 	OutcomeFailed Outcome = "failed"
 	// OutcomeUnknown means that it can't be proven whether tasks ran.
 	OutcomeUnknown Outcome = "outcome unknown"
 )
 
-// Code tells a program why a request was not answered with a complete job.
+// Code is a machine-readable reason why a request was not answered with a
+// complete job.
 type Code string
 
 // Codes of an Error.
@@ -143,7 +147,8 @@
 	Code    Code    `json:"code"`
 	Outcome Outcome `json:"outcome,omitempty"`
 	Message string  `json:"message"`
-	// RetryAfterMillis is when asking again may help; zero: it won't.
+	// RetryAfterMillis is the delay after which a retry may succeed; zero means
+	// that it won't.
 	RetryAfterMillis uint32 `json:"retry_after_ms,omitempty"`
 }
 
