--- a/cmd/internal/site/counts.go
+++ b/cmd/internal/site/counts.go
@@ -6,15 +6,16 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// Messages counts what all processes have sent, by kind.
+// Messages holds the number of messages sent by all processes, by kind.
 type Messages struct {
 	ByKind map[string]float64
 	Bytes  float64
-	// Wasted by reason, as the processes saw it themselves.
+	// Wasted is the number of wasted messages by reason, as counted by the
+	// processes themselves.
 	Wasted map[string]float64
 }
 
-// Total is the number of messages sent.
+// Total returns the number of messages sent.
 func (m Messages) Total() float64 {
 	var n float64
 	for _, v := range m.ByKind {
@@ -23,7 +24,7 @@
 	return n
 }
 
-// Messages reads the counters of every process that runs or ran.
+// Messages reads the counters of all incarnations of all processes.
 func (s *Site) Messages() Messages {
 	s.mu.Lock()
 	registries := append(s.registries[:0:0], s.registries...)
--- a/cmd/internal/site/doc.go
+++ b/cmd/internal/site/doc.go
@@ -1,4 +1,4 @@
-// Package site runs a whole site in one process: entries, agents and stand-in
-// endpoints on loopback, each behind a relay so that its network can be made to
-// fail. The demo, the load tool and failure tests use it.
+// Package site runs a complete site in one process: entries, agents and stand-in
+// endpoints on loopback, each behind a relay that can inject network faults. The
+// demo, the load generator and failure tests use it.
 package site
--- a/cmd/internal/site/relay.go
+++ b/cmd/internal/site/relay.go
@@ -9,68 +9,68 @@
 	"time"
 )
 
-// Relay passes TCP connections on to a backend, and can make them fail the way
-// networks do. It is safe for concurrent use.
+// Relay forwards TCP connections to a backend and can inject network faults. It
+// is safe for concurrent use.
 type Relay struct {
 	ln      net.Listener
 	backend atomic.Pointer[string]
 	delay   atomic.Int64 // one way, in nanoseconds
 
-	mu    sync.Mutex
-	conns map[*relayed]struct{}
-	last  int // number of the newest connection
-	cut   bool
-	holds holding
+	mu          sync.Mutex
+	conns       map[*relayedConn]struct{}
+	lastNumber  int // number of the newest connection
+	partitioned bool
+	held        holdRule
 }
 
-// Direction is the way of bytes through a relay.
+// Direction is the direction of bytes through a relay.
 type Direction uint8
 
-// Directions; both can be held at once.
+// Directions, which can be combined.
 const (
 	ToBackend Direction = 1 << iota
 	FromBackend
 	BothWays = ToBackend | FromBackend
 )
 
-// holding says which bytes wait at the relay.
-type holding struct {
+// holdRule selects the connections and directions whose bytes are held back.
+type holdRule struct {
 	direction Direction
-	every     int // each so many connections
+	every     int // applies to every n-th connection
 }
 
-func (h holding) covers(number int, d Direction) bool {
+func (h holdRule) matches(number int, d Direction) bool {
 	return h.direction&d != 0 && number%h.every == 0
 }
 
-// relayed is one connection through the relay.
-type relayed struct {
+// relayedConn is one connection through the relay.
+type relayedConn struct {
 	number      int
 	front, back net.Conn
-	silent      atomic.Bool
+	discarding  atomic.Bool
 	to, from    gate
 	closed      chan struct{}
-	closing     sync.Once
+	closeOnce   sync.Once
 }
 
-// gate lets bytes pass, or holds them.
-type gate struct{ shut atomic.Pointer[chan struct{}] }
+// gate lets bytes through or holds them back.
+type gate struct{ held atomic.Pointer[chan struct{}] }
 
 func (g *gate) hold() {
 	opened := make(chan struct{})
-	g.shut.CompareAndSwap(nil, &opened)
+	g.held.CompareAndSwap(nil, &opened)
 }
 
 func (g *gate) release() {
-	if opened := g.shut.Swap(nil); opened != nil {
+	if opened := g.held.Swap(nil); opened != nil {
 		close(*opened)
 	}
 }
 
-// pass waits until the gate is open or the connection is closed.
-func (g *gate) pass(closed <-chan struct{}) {
+// wait blocks until the gate is open or the connection is closed.
+func (g *gate) wait(closed <-chan struct{}) {
 	for {
-		opened := g.shut.Load()
+		opened := g.held.Load()
 		if opened == nil {
 			return
 		}
@@ -82,77 +82,81 @@
 	}
 }
 
-// NewRelay listens on a free loopback port; each direction is delayed.
+// NewRelay listens on a free loopback port. Bytes in each direction are delayed
+// by delay.
 func NewRelay(delay time.Duration) (*Relay, error) {
 	return NewRelayAt("127.0.0.1:0", delay)
 }
 
-// NewRelayAt listens on the given IP and port; each direction is delayed.
+// NewRelayAt listens on the given IP and port. Bytes in each direction are
+// delayed by delay.
 func NewRelayAt(address string, delay time.Duration) (*Relay, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, ErrSite.Wrap(err, "relay")
+		return nil, ErrStart.Wrap(err, "relay")
 	}
-	r := &Relay{ln: ln, conns: make(map[*relayed]struct{})}
+	r := &Relay{ln: ln, conns: make(map[*relayedConn]struct{})}
 	r.SetDelay(delay)
 	go r.accept()
 	return r, nil
 }
 
-// Address is where the relay listens.
+// Address returns the relay's listen address.
 func (r *Relay) Address() string { return r.ln.Addr().String() }
 
-// SetBackend directs new connections.
+// SetBackend sets the backend of new connections.
 func (r *Relay) SetBackend(address string) { r.backend.Store(&address) }
 
-// SetDelay changes how long bytes take one way from now on.
+// SetDelay sets the one-way delay of bytes that arrive from now on.
 func (r *Relay) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// Silence makes every open connection silent for good; new ones work.
+// Silence discards all further bytes of open connections without closing them.
+// New connections work.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		c.silent.Store(true)
+		c.discarding.Store(true)
 	}
 }
 
-// Cut makes open connections silent for good, and new ones too until Heal.
+// Cut discards the bytes of open connections for good, and those of new ones
+// until Heal.
 func (r *Relay) Cut() {
 	r.Silence()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = true
+	r.partitioned = true
 }
 
-// Heal ends a Cut.
+// Heal ends a Cut for new connections.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = false
+	r.partitioned = false
 }
 
-// Hold keeps bytes back until Release delivers them: one way or both, on every
-// n-th connection, open or new. It replaces an earlier Hold.
+// Hold buffers bytes until Release delivers them, in the given direction or
+// both, on every n-th connection, open or new. It replaces an earlier Hold.
 func (r *Relay) Hold(d Direction, every int) {
-	r.hold(holding{d, max(1, every)})
+	r.hold(holdRule{d, max(1, every)})
 }
 
-// Release delivers what was held.
-func (r *Relay) Release() { r.hold(holding{every: 1}) }
+// Release delivers the bytes that were held back.
+func (r *Relay) Release() { r.hold(holdRule{every: 1}) }
 
-func (r *Relay) hold(h holding) {
+func (r *Relay) hold(h holdRule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.holds = h
+	r.held = h
 	for c := range r.conns {
 		c.hold(h)
 	}
 }
 
-func (c *relayed) hold(h holding) {
+func (c *relayedConn) hold(h holdRule) {
 	for d, g := range map[Direction]*gate{ToBackend: &c.to, FromBackend: &c.from} {
-		if h.covers(c.number, d) {
+		if h.matches(c.number, d) {
 			g.hold()
 		} else {
 			g.release()
@@ -160,8 +164,8 @@
 	}
 }
 
-// Break closes every open connection.
-func (r *Relay) Break() {
+// CloseConnections closes every open connection.
+func (r *Relay) CloseConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -169,10 +173,10 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
-	r.Break()
+	r.CloseConnections()
 }
 
 func (r *Relay) accept() {
@@ -188,49 +192,49 @@
 const relayDialTimeout = time.Second
 
 func (r *Relay) serve(front net.Conn) {
-	c := &relayed{front: front, closed: make(chan struct{})}
+	c := &relayedConn{front: front, closed: make(chan struct{})}
 	r.mu.Lock()
-	c.silent.Store(r.cut)
+	c.discarding.Store(r.partitioned)
 	r.mu.Unlock()
-	if backend := r.backend.Load(); backend != nil && !c.silent.Load() {
+	if backend := r.backend.Load(); backend != nil && !c.discarding.Load() {
 		c.back, _ = net.DialTimeout("tcp", *backend, relayDialTimeout)
 	}
-	if c.back == nil && !c.silent.Load() {
+	if c.back == nil && !c.discarding.Load() {
 		_ = front.Close()
 		return
 	}
 	r.add(c)
-	c.run(&r.delay)
+	c.forwardBoth(&r.delay)
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
-// add makes the relay's faults reach the connection.
-func (r *Relay) add(c *relayed) {
+// add registers the connection, so that the relay's faults apply to it.
+func (r *Relay) add(c *relayedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last++
-	c.number = r.last
-	c.hold(r.holds)
+	r.lastNumber++
+	c.number = r.lastNumber
+	c.hold(r.held)
 	r.conns[c] = struct{}{}
 }
 
-// run passes bytes until one side closes.
-func (c *relayed) run(delay *atomic.Int64) {
+// forwardBoth forwards bytes until one side closes.
+func (c *relayedConn) forwardBoth(delay *atomic.Int64) {
 	defer c.close()
 	if c.back == nil {
 		_, _ = io.Copy(io.Discard, c.front)
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { c.pass(c.back, c.front, &c.to, delay); c.close() })
-	wg.Go(func() { c.pass(c.front, c.back, &c.from, delay); c.close() })
+	wg.Go(func() { c.forward(c.back, c.front, &c.to, delay); c.close() })
+	wg.Go(func() { c.forward(c.front, c.back, &c.from, delay); c.close() })
 	wg.Wait()
 }
 
-func (c *relayed) close() {
-	c.closing.Do(func() {
+func (c *relayedConn) close() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		_ = c.front.Close()
 		if c.back != nil {
@@ -239,7 +243,7 @@
 	})
 }
 
-// chunk is bytes on their way, to be written at the given time.
+// chunk is data in transit, to be written at the given time.
 type chunk struct {
 	at   time.Time
 	data []byte
@@ -250,9 +254,9 @@
 	relayQueue  = 1024
 )
 
-// pass copies bytes, each after the delay; those of a silent connection are
-// swallowed, those at a shut gate wait.
-func (c *relayed) pass(to, from net.Conn, g *gate, delay *atomic.Int64) {
+// forward copies bytes from one side to the other after the delay. Bytes
+// are discarded while c.discarding is set, and wait at a closed gate.
+func (c *relayedConn) forward(to, from net.Conn, g *gate, delay *atomic.Int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	chunks := make(chan chunk, relayQueue)
@@ -261,7 +265,7 @@
 		buf := make([]byte, relayBuffer)
 		for {
 			n, err := from.Read(buf)
-			if n > 0 && !c.silent.Load() {
+			if n > 0 && !c.discarding.Load() {
 				at := time.Now().Add(time.Duration(delay.Load()))
 				select {
 				case chunks <- chunk{at: at, data: append([]byte(nil), buf[:n]...)}:
@@ -276,8 +280,8 @@
 	}()
 	for ch := range chunks {
 		time.Sleep(time.Until(ch.at))
-		g.pass(c.closed)
-		if c.silent.Load() {
+		g.wait(c.closed)
+		if c.discarding.Load() {
 			continue
 		}
 		if _, err := to.Write(ch.data); err != nil {
--- a/cmd/internal/site/relay_test.go
+++ b/cmd/internal/site/relay_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// echo serves connections that get back what they send.
-func echo(t *testing.T) string {
+// startEchoServer serves connections that return what they receive.
+func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,16 +27,17 @@
 	return ln.Addr().String()
 }
 
-// A network holds packets back and delivers them late, as TCP does after a cut. What
-// was sent must come then, whole and in order, and nothing before.
-func TestRelayHoldsAndDeliversLate(t *testing.T) {
+// A network delays packets and delivers them late, as TCP does after a
+// partition. Held bytes must arrive complete and in order after the release, and
+// none before it.
+func TestRelayReleaseDeliversHeldBytes(t *testing.T) {
 	for _, d := range []Direction{ToBackend, FromBackend, BothWays} {
 		r, err := NewRelay(0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer r.Close()
-		r.SetBackend(echo(t))
+		r.SetBackend(startEchoServer(t))
 		c, err := net.Dial("tcp", r.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -60,7 +61,7 @@
 		}()
 		select {
 		case <-came:
-			t.Fatal("came though it was held")
+			t.Fatal("bytes arrived while held")
 		case <-time.After(20 * time.Millisecond):
 		}
 		r.Release()
@@ -70,22 +71,22 @@
 	}
 }
 
-// Holds on every second connection must leave the others alone.
+// A hold on every second connection must not affect the others.
 func TestRelayHoldsSomeConnections(t *testing.T) {
-	h := holding{ToBackend, 2}
-	if h.covers(1, ToBackend) || !h.covers(2, ToBackend) || h.covers(2, FromBackend) {
+	h := holdRule{ToBackend, 2}
+	if h.matches(1, ToBackend) || !h.matches(2, ToBackend) || h.matches(2, FromBackend) {
 		t.Error("holds the wrong connections")
 	}
 }
 
-// A gate that is released as its connection closes must not keep its goroutine.
+// A connection that closes at a closed gate must not leak its goroutine.
 func TestGateOpensWhenClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g gate
 		closed := make(chan struct{})
 		g.hold()
 		done := make(chan struct{})
-		go func() { g.pass(closed); close(done) }()
+		go func() { g.wait(closed); close(done) }()
 		synctest.Wait()
 		close(closed)
 		<-done
--- a/cmd/internal/site/site.go
+++ b/cmd/internal/site/site.go
@@ -23,8 +23,8 @@
 // Errors of this package.
 var (
 	Errors = errorx.NewNamespace("site")
-	// ErrSite is given when a part of the site can't be started.
-	ErrSite = Errors.NewType("start")
+	// ErrStart is returned when a process or component of the site can't be started.
+	ErrStart = Errors.NewType("start")
 )
 
 // Options configure a Site.
@@ -36,19 +36,19 @@
 	Slots, Cores   uint32
 	Connections    uint32
 	MemoryBytes    uint64
-	// Delay is one way between any two processes, CallerDelay between a caller
-	// and an entry.
+	// Delay is the one-way network delay between any two processes, CallerDelay
+	// that between a caller and an entry.
 	Delay, CallerDelay time.Duration
 	Contracts          []*pb.Contract
 	DrainTimeout       time.Duration
-	// EntryCore and AgentCore set what the decisions leave open.
+	// EntryCore and AgentCore configure the decision logic of entries and agents.
 	EntryCore coreentry.Options
 	AgentCore coreagent.Options
 	Logger    *slog.Logger
 }
 
-// Site is a running site. Its methods are safe for concurrent use, but one part
-// must not be stopped and started by two callers at once.
+// Site is a running site. Its methods are safe for concurrent use, but the same
+// process must not be stopped and started concurrently.
 type Site struct {
 	opts    Options
 	store   *Store
@@ -57,11 +57,11 @@
 	wg      sync.WaitGroup
 
 	mu         sync.Mutex
-	registries []*prometheus.Registry // of every incarnation so far
+	registries []*prometheus.Registry // one per incarnation
 }
 
-// registry is for the metrics of one more process.
-func (s *Site) registry() *prometheus.Registry {
+// newRegistry creates the metrics registry of a new incarnation.
+func (s *Site) newRegistry() *prometheus.Registry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := prometheus.NewRegistry()
@@ -69,7 +69,7 @@
 	return r
 }
 
-// Start brings up the site. It ends with Stop.
+// Start starts a site. The caller must call Stop.
 func Start(opts Options) (*Site, error) {
 	s := &Site{opts: opts}
 	var err error
@@ -95,11 +95,12 @@
 	return s, nil
 }
 
-// Stop drains every agent and entry, entries last.
+// Stop drains all entries, then all agents, and releases the resources of the
+// site.
 func (s *Site) Stop() {
-	s.all(func(a *Agent) { a.Stop() }, func(e *Entry) { e.Stop() })
+	s.forEachProcess(func(a *Agent) { a.Stop() }, func(e *Entry) { e.Stop() })
 	for _, a := range s.agents {
-		_ = a.worker.Close()
+		_ = a.server.Close()
 		a.relay.Close()
 	}
 	for _, e := range s.entries {
@@ -110,7 +111,9 @@
 	s.wg.Wait()
 }
 
-func (s *Site) all(agents func(*Agent), entries func(*Entry)) {
+// forEachProcess calls entries for all entries concurrently, then agents for all
+// agents.
+func (s *Site) forEachProcess(agents func(*Agent), entries func(*Entry)) {
 	var wg sync.WaitGroup
 	for _, e := range s.entries {
 		wg.Go(func() { entries(e) })
@@ -122,17 +125,17 @@
 	wg.Wait()
 }
 
-// Entries lists the entries.
+// Entries returns the entries.
 func (s *Site) Entries() []*Entry { return s.entries }
 
-// Agents lists the agents.
+// Agents returns the agents.
 func (s *Site) Agents() []*Agent { return s.agents }
 
 // Linked reports whether every agent has a link to every entry, and every entry
-// has the contracts.
+// has all contracts.
 func (s *Site) Linked() bool {
 	for _, e := range s.entries {
-		n := e.running()
+		n := e.latest()
 		if n.Links() < len(s.agents) || n.Config().Snapshot().Len() < len(s.opts.Contracts) {
 			return false
 		}
@@ -140,8 +143,8 @@
 	return true
 }
 
-// join lists the nodes' addresses of the entries started so far.
-func (s *Site) join() []string {
+// joinAddresses returns the node addresses of the entries started so far.
+func (s *Site) joinAddresses() []string {
 	var all []string
 	for _, e := range s.entries {
 		all = append(all, e.nodes.Address())
@@ -149,10 +152,10 @@
 	return all
 }
 
-// Store is the stand-in of the platform's key-value service.
+// Store returns the stand-in of the platform's key-value service.
 func (s *Site) Store() *Store { return s.store }
 
-// CallerURLs lists where callers reach the entries.
+// CallerURLs returns the base URLs on which the entries serve callers.
 func (s *Site) CallerURLs() []string {
 	var out []string
 	for _, e := range s.entries {
@@ -161,19 +164,20 @@
 	return out
 }
 
-func (s *Site) domain(i int) string {
+func (s *Site) failureDomain(i int) string {
 	return s.opts.FailureDomains[i%len(s.opts.FailureDomains)]
 }
 
-// runner is the part that entries and agents share: one run after another.
-type runner struct {
+// lifecycle is the common part of Entry and Agent: it runs one incarnation of a
+// process after another.
+type lifecycle struct {
 	mu     sync.Mutex
 	cancel context.CancelFunc
 	kill   func()
 	done   chan struct{}
 }
 
-func (r *runner) start(s *Site, run func(context.Context) error, kill func()) {
+func (r *lifecycle) start(s *Site, run func(context.Context) error, kill func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	r.mu.Lock()
@@ -188,7 +192,7 @@
 }
 
 // Stop ends the process as an operator would: it drains first.
-func (r *runner) Stop() {
+func (r *lifecycle) Stop() {
 	r.mu.Lock()
 	cancel, done := r.cancel, r.done
 	r.mu.Unlock()
@@ -198,8 +202,8 @@
 	}
 }
 
-// Kill ends the process at once, without a word to anyone.
-func (r *runner) Kill() {
+// Kill ends the process at once, without notifying its peers.
+func (r *lifecycle) Kill() {
 	r.mu.Lock()
 	kill, done := r.kill, r.done
 	r.mu.Unlock()
@@ -207,16 +211,16 @@
 	<-done
 }
 
-// loopback lets the kernel choose a port.
+// loopback is a listen address whose port the kernel chooses.
 const loopback = "127.0.0.1:0"
 
-// entryEvents is how many events an entry keeps: more than an agent, for it
-// sees the work of all.
+// entryEvents is how many events an entry keeps. It is more than an agent keeps,
+// since an entry records the work of all agents.
 const entryEvents = 1 << 16
 
 // Entry is one entry of a site.
 type Entry struct {
-	runner
+	lifecycle
 	site    *Site
 	index   int
 	callers *Relay
@@ -238,21 +242,21 @@
 	return e, e.Start()
 }
 
-// Start runs a new incarnation of the entry.
+// Start starts a new incarnation of the entry.
 func (e *Entry) Start() error {
 	s := e.site
 	o := settings.DefaultEntry()
-	o.Name, o.FailureDomain = e.Name(), s.domain(e.index)
+	o.Name, o.FailureDomain = e.Name(), s.failureDomain(e.index)
 	o.CallersListen, o.NodesListen, o.OperatorsListen = loopback, loopback, loopback
 	o.NodesAddress = e.nodes.Address()
 	o.StoreAddresses = []string{s.store.Address()}
-	o.Join = s.join()
+	o.Join = s.joinAddresses()
 	o.DrainTimeout = s.opts.DrainTimeout
 	n, err := process.NewEntry(process.EntryOptions{
-		Settings: o, Core: s.opts.EntryCore, Events: entryEvents, Registry: s.registry(), Logger: s.opts.Logger,
+		Settings: o, Core: s.opts.EntryCore, Events: entryEvents, Registry: s.newRegistry(), Logger: s.opts.Logger,
 	})
 	if err != nil {
-		return ErrSite.Wrap(err, "entry %d", e.index)
+		return ErrStart.Wrap(err, "entry %d", e.index)
 	}
 	e.callers.SetBackend(n.CallersAddress())
 	e.nodes.SetBackend(n.ListenAddress())
@@ -263,44 +267,44 @@
 	return nil
 }
 
-// running is the incarnation that runs, or ran last.
-func (e *Entry) running() *process.Entry {
+// latest returns the incarnation that runs, or the last one that ran.
+func (e *Entry) latest() *process.Entry {
 	e.stateMu.Lock()
 	defer e.stateMu.Unlock()
 	return e.current
 }
 
-// Name is the entry's name, the same for every incarnation.
+// Name returns the entry's name, the same for every incarnation.
 func (e *Entry) Name() string { return fmt.Sprintf("entry-%d", e.index) }
 
-// CallersURL is where callers reach the entry.
+// CallersURL returns the base URL for callers.
 func (e *Entry) CallersURL() string { return "http://" + e.callers.Address() }
 
-// OperatorsAddress is where the running incarnation serves operators.
-func (e *Entry) OperatorsAddress() string { return e.running().Peer().GetOperatorAddress() }
+// OperatorsAddress returns the operators' address of the current incarnation.
+func (e *Entry) OperatorsAddress() string { return e.latest().Peer().GetOperatorAddress() }
 
-// Links is the number of agents with an open link.
+// Links returns the number of agents with an open link.
 func (e *Entry) Links() int {
 	e.stateMu.Lock()
 	defer e.stateMu.Unlock()
 	return e.current.Links()
 }
 
-// CallersRelay is between callers and the entry.
+// CallersRelay returns the relay between callers and the entry.
 func (e *Entry) CallersRelay() *Relay { return e.callers }
 
-// NodesRelay is between the entry and those that call it.
+// NodesRelay returns the relay between other processes and the entry.
 func (e *Entry) NodesRelay() *Relay { return e.nodes }
 
 // Agent is one agent of a site with its worker.
 type Agent struct {
-	runner
-	site   *Site
-	index  int
-	relay  *Relay
-	state  *standin.Worker
-	worker *http.Server
-	listen net.Listener
+	lifecycle
+	site     *Site
+	index    int
+	relay    *Relay
+	endpoint *standin.Worker
+	server   *http.Server
+	listener net.Listener
 }
 
 func (s *Site) newAgent(i int) (*Agent, error) {
@@ -310,42 +314,42 @@
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, ErrSite.Wrap(err, "worker %d", i)
+		return nil, ErrStart.Wrap(err, "worker %d", i)
 	}
 	w := standin.NewWorker(standin.Options{Cores: s.opts.Cores, MemoryBytes: s.opts.MemoryBytes})
-	a := &Agent{site: s, index: i, relay: relay, state: w, listen: ln, worker: &http.Server{Handler: w.Handler(), ReadHeaderTimeout: time.Second}}
-	s.wg.Go(func() { _ = a.worker.Serve(ln) })
+	a := &Agent{site: s, index: i, relay: relay, endpoint: w, listener: ln, server: &http.Server{Handler: w.Handler(), ReadHeaderTimeout: time.Second}}
+	s.wg.Go(func() { _ = a.server.Serve(ln) })
 	return a, a.Start()
 }
 
-// Start runs a new incarnation of the agent beside the same endpoint.
+// Start starts a new incarnation of the agent beside the same endpoint.
 func (a *Agent) Start() error {
 	s := a.site
 	rack := a.index / max(1, s.opts.WorkersPerRack)
 	o := settings.DefaultAgent()
 	o.Name, o.Worker, o.Rack = a.Name(), fmt.Sprintf("worker-%02d", a.index), fmt.Sprintf("rack-%d", rack)
-	o.FailureDomain = s.domain(rack)
+	o.FailureDomain = s.failureDomain(rack)
 	o.NodesListen, o.OperatorsListen = loopback, loopback
 	o.NodesAddress = a.relay.Address()
-	o.EndpointAddress, o.Join = a.listen.Addr().String(), s.join()
+	o.EndpointAddress, o.Join = a.listener.Addr().String(), s.joinAddresses()
 	o.Slots, o.Connections, o.Cores, o.MemoryBytes = s.opts.Slots, s.opts.Connections, s.opts.Cores, s.opts.MemoryBytes
 	o.DrainTimeout = s.opts.DrainTimeout
 	n, err := process.NewAgent(process.AgentOptions{
-		Settings: o, Core: s.opts.AgentCore, Registry: s.registry(), Logger: s.opts.Logger,
+		Settings: o, Core: s.opts.AgentCore, Registry: s.newRegistry(), Logger: s.opts.Logger,
 	})
 	if err != nil {
-		return ErrSite.Wrap(err, "agent %d", a.index)
+		return ErrStart.Wrap(err, "agent %d", a.index)
 	}
 	a.relay.SetBackend(n.ListenAddress())
 	a.start(s, n.Run, n.Kill)
 	return nil
 }
 
-// Name is the agent's name, the same for every incarnation.
+// Name returns the agent's name, the same for every incarnation.
 func (a *Agent) Name() string { return fmt.Sprintf("agent-%02d", a.index) }
 
-// Relay is between entries and the agent.
+// Relay returns the relay between entries and the agent.
 func (a *Agent) Relay() *Relay { return a.relay }
 
-// Worker is the stand-in beside the agent.
-func (a *Agent) Worker() *standin.Worker { return a.state }
+// Worker returns the stand-in endpoint beside the agent.
+func (a *Agent) Worker() *standin.Worker { return a.endpoint }
--- a/cmd/internal/site/store.go
+++ b/cmd/internal/site/store.go
@@ -14,7 +14,7 @@
 	"github.com/papayahoist/papayahoist/platform/store/etcdv3"
 )
 
-// Store is the stand-in of the platform's key-value service, behind a relay.
+// Store is a stand-in of the platform's key-value service, behind a relay.
 type Store struct {
 	*kv.Server
 	relay  *Relay
@@ -25,7 +25,7 @@
 func newStore(o Options) (*Store, error) {
 	ln, err := net.Listen("tcp", loopback)
 	if err != nil {
-		return nil, ErrSite.Wrap(err, "store")
+		return nil, ErrStart.Wrap(err, "store")
 	}
 	relay, err := NewRelay(o.Delay)
 	if err != nil {
@@ -36,25 +36,25 @@
 	s := &Store{Server: kv.New(kv.Options{}), relay: relay}
 	s.server = &http.Server{Handler: s.Server, ReadHeaderTimeout: time.Second}
 	go func() { _ = s.server.Serve(ln) }()
-	if err := s.write(o); err != nil {
+	if err := s.writeContracts(o); err != nil {
 		s.close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// write writes the contracts as an operator would.
-func (s *Store) write(o Options) error {
+// writeContracts writes the contracts as an operator would.
+func (s *Store) writeContracts(o Options) error {
 	editor := config.NewEditor(etcdv3.New("http://"+s.Address(), etcdv3.Options{}), config.EditorOptions{})
 	for _, c := range o.Contracts {
-		// The store gives the revision.
+		// The store assigns the revision.
 		c = proto.CloneOf(c)
 		c.Revision = 0
 		_, err := editor.Apply(context.Background(), contract.Change{
 			Contract: c, ID: "site-" + c.Name, By: "site", At: time.Now(),
 		})
 		if err != nil {
-			return ErrSite.Wrap(err, "contract %s", c.Name)
+			return ErrStart.Wrap(err, "contract %s", c.Name)
 		}
 	}
 	return nil
@@ -65,8 +65,8 @@
 	s.relay.Close()
 }
 
-// Address is where the processes reach the store.
+// Address returns the address on which processes reach the store.
 func (s *Store) Address() string { return s.relay.Address() }
 
-// Relay is between the processes and the store.
+// Relay returns the relay between the processes and the store.
 func (s *Store) Relay() *Relay { return s.relay }
--- a/cmd/internal/soak/callers.go
+++ b/cmd/internal/soak/callers.go
@@ -14,22 +14,22 @@
 	"time"
 )
 
-// Shapes of the jobs that are drawn. They range from those that end at once to some
-// that outlast a caller's return.
+// Parameters of the generated jobs. They range from jobs that end at once to some
+// that still run when the caller sends them again.
 const (
 	maxTasks       = 5
 	minRun         = 10 * time.Millisecond
-	usualRun       = 200 * time.Millisecond
-	longRun        = 2 * time.Second
-	leastPatience  = 500 * time.Millisecond
-	clients        = 8
+	maxUsualRun    = 200 * time.Millisecond
+	maxLongRun     = 2 * time.Second
+	minTimeout     = 500 * time.Millisecond
+	clientCount    = 8
 	hostName       = "desk"
-	droppableEvery = 5 // one job of so many is for the queue that versions drop
+	droppableEvery = 5 // one in this many jobs uses the queue that some versions drop
 	crashingEvery  = 97
-	maxTries       = 4
+	maxAttempts    = 4
 )
 
-// callers send jobs at a steady rate, and again as the platform's clients do.
+// callers send jobs at a steady mean rate, and retry as the platform's clients do.
 type callers struct {
 	c       *cluster
 	plan    *Schedule
@@ -39,14 +39,14 @@
 
 	mu       sync.Mutex
 	outcomes map[string]int
-	lastCalm tally // of jobs sent in the last calm span
+	lastCalm jobCounts // jobs sent in the last calm span
 }
 
-type tally struct{ sent, completed int }
+type jobCounts struct{ sent, completed int }
 
 func newCallers(c *cluster, plan *Schedule) *callers {
 	x := &callers{c: c, plan: plan, rand: rand.New(rand.NewPCG(plan.Seed, 2)), outcomes: map[string]int{}}
-	for range clients {
+	for range clientCount {
 		x.clients = append(x.clients, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}})
 	}
 	return x
@@ -54,22 +54,22 @@
 
 // call is one job of one caller.
 type call struct {
-	id       string
-	queue    string
-	body     []byte
-	tasks    int
-	patience time.Duration
-	deadline time.Time     // of the whole call
-	sent     time.Duration // for the first time
-	client   *http.Client
-	first    int // entry of the first try
+	id         string
+	queue      string
+	body       []byte
+	tasks      int
+	timeout    time.Duration
+	deadline   time.Time     // for all attempts
+	sent       time.Duration // time of the first attempt
+	client     *http.Client
+	firstEntry int // index of the entry of the first attempt
 }
 
-// run sends jobs until the context ends, then waits for the last answers.
+// run sends jobs until the context ends, then waits for the outstanding answers.
 func (x *callers) run(ctx context.Context) {
 	for n := 1; ; n++ {
 		gap := time.Duration(x.rand.ExpFloat64() / x.c.size.JobsPerSecond * float64(time.Second))
-		job := x.draw(n)
+		job := x.generate(n)
 		select {
 		case <-ctx.Done():
 			x.wg.Wait()
@@ -80,45 +80,45 @@
 	}
 }
 
-// draw makes the n-th job; what it is follows from the seed alone.
-func (x *callers) draw(n int) *call {
+// generate generates the n-th job, which depends on the seed alone.
+func (x *callers) generate(n int) *call {
 	r := x.rand
-	length := minRun + time.Duration(r.Int64N(int64(usualRun)))
+	length := minRun + time.Duration(r.Int64N(int64(maxUsualRun)))
 	if r.IntN(10) == 0 {
-		length += time.Duration(r.Int64N(int64(longRun)))
+		length += time.Duration(r.Int64N(int64(maxLongRun)))
 	}
-	k := &call{id: fmt.Sprintf("%016x", n), queue: fixedQueue(r.IntN(fixedQueues)), tasks: 1 + r.IntN(maxTasks), first: r.IntN(x.c.size.Entries)}
+	k := &call{id: fmt.Sprintf("%016x", n), queue: fixedQueue(r.IntN(fixedQueues)), tasks: 1 + r.IntN(maxTasks), firstEntry: r.IntN(x.c.size.Entries)}
 	if r.IntN(droppableEvery) == 0 {
-		k.queue = droppable
+		k.queue = droppableQueue
 	}
 	spec := specification{Job: k.id, CPU: 200 + r.Int64N(workerCPU/4), Millis: int(length.Milliseconds()), Fails: r.IntN(40) == 0}
 	if n%crashingEvery == 0 {
 		spec.Crashes, k.tasks = true, 1
 	}
-	k.patience = leastPatience + 3*length + time.Duration(r.Int64N(int64(longRun)))
-	k.client = x.clients[r.IntN(clients)]
+	k.timeout = minTimeout + 3*length + time.Duration(r.Int64N(int64(maxLongRun)))
+	k.client = x.clients[r.IntN(clientCount)]
 	k.body, _ = json.Marshal(map[string]any{
-		"specification": spec.text(), "best_effort": true,
+		"specification": spec.encode(), "best_effort": true,
 		"steps": []map[string]any{{"count": k.tasks, "cpu": spec.CPU, "task_memory_mb": 10, "estimated_ms": length.Milliseconds()}},
 	})
 	return k
 }
 
-// send tries until there is an answer, or no time.
+// send sends the job until it is answered or its deadline passes.
 func (x *callers) send(k *call) {
-	k.sent, k.deadline = x.c.since(), time.Now().Add(k.patience)
+	k.sent, k.deadline = x.c.since(), time.Now().Add(k.timeout)
 	ctx, cancel := context.WithDeadline(context.Background(), k.deadline)
 	defer cancel()
-	x.count(k, x.tries(ctx, k))
+	x.recordOutcome(k, x.sendWithRetries(ctx, k))
 }
 
-func (x *callers) tries(ctx context.Context, k *call) string {
+func (x *callers) sendWithRetries(ctx context.Context, k *call) string {
 	outcome := "no_answer"
-	for try := range maxTries {
-		entry := x.c.entries[(k.first+try)%len(x.c.entries)]
+	for try := range maxAttempts {
+		entry := x.c.entries[(k.firstEntry+try)%len(x.c.entries)]
 		var wait time.Duration
 		var final bool
-		outcome, wait, final = x.try(ctx, entry, k)
+		outcome, wait, final = x.sendOnce(ctx, entry, k)
 		if final || ctx.Err() != nil {
 			return outcome
 		}
@@ -131,9 +131,10 @@
 	return outcome
 }
 
-// try makes one request; when it isn't final, the next may follow after wait.
-func (x *callers) try(ctx context.Context, entry *node, k *call) (outcome string, wait time.Duration, final bool) {
-	x.c.ledger.Asked(x.c.since(), k.id, k.queue, k.tasks)
+// sendOnce makes one request. If the result isn't final, the next request may
+// follow after wait.
+func (x *callers) sendOnce(ctx context.Context, entry *node, k *call) (outcome string, wait time.Duration, final bool) {
+	x.c.checker.JobSent(x.c.since(), k.id, k.queue, k.tasks)
 	stopping := entry.stopping.Load()
 	url := "http://" + entry.relays[CallersToEntry].Address() + k.queue + k.id
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(k.body))
@@ -144,31 +145,31 @@
 	req.Header.Set("Deadline-Milliseconds", strconv.FormatInt(time.Until(k.deadline).Milliseconds(), 10))
 	resp, err := k.client.Do(req)
 	if err != nil {
-		x.cut(entry, k, stopping, err)
+		x.checkUnanswered(entry, k, stopping, err)
 		return "no_answer", resend, false
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		x.cut(entry, k, stopping, err)
+		x.checkUnanswered(entry, k, stopping, err)
 		return "no_answer", resend, false
 	}
-	return x.answered(k, resp, text)
+	return x.handleResponse(k, resp, text)
 }
 
-// cut looks at a request without an answer: an entry that is stopped as planned
-// must not leave one whose job it has begun.
-func (x *callers) cut(entry *node, k *call, stopping bool, err error) {
+// checkUnanswered checks a request that got no answer: an entry that is stopped as
+// planned must not leave a job unanswered that it has started.
+func (x *callers) checkUnanswered(entry *node, k *call, stopping bool, err error) {
 	at := x.c.since()
-	if errors.Is(err, context.DeadlineExceeded) || !stopping && !entry.stopping.Load() || !x.c.ledger.calm(at) {
+	if errors.Is(err, context.DeadlineExceeded) || !stopping && !entry.stopping.Load() || !x.c.checker.calm(at) {
 		return
 	}
-	if x.c.ledger.CutOff(k.id) {
-		x.c.ledger.Break(at, promiseStop, "%s stopped and cut off job %s: %v", entry.name, k.id, err)
+	if x.c.checker.HasStarted(k.id) {
+		x.c.checker.AddFinding(at, promiseStop, "%s stopped without answering started job %s: %v", entry.name, k.id, err)
 	}
 }
 
-func (x *callers) answered(k *call, resp *http.Response, text []byte) (outcome string, wait time.Duration, final bool) {
+func (x *callers) handleResponse(k *call, resp *http.Response, text []byte) (outcome string, wait time.Duration, final bool) {
 	at := x.c.since()
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -176,32 +177,32 @@
 			State string `json:"state"`
 		}
 		if json.Unmarshal(text, &b) != nil || b.State != "completed" && b.State != "failed" {
-			x.c.ledger.Break(at, promiseWhole, "job %s got the answer %q", k.id, text)
+			x.c.checker.AddFinding(at, promiseComplete, "job %s got the answer %q", k.id, text)
 			return "broken", 0, true
 		}
-		x.c.ledger.Answered(at, k.id, b.State == "completed")
+		x.c.checker.JobAnswered(at, k.id, b.State == "completed")
 		return b.State, 0, true
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		x.c.ledger.Refused(at, k.id)
+		x.c.checker.JobRefused(at, k.id)
 		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 		return "refused", max(time.Second, time.Duration(seconds)*time.Second), false
 	case http.StatusNotFound:
-		x.c.ledger.Refused(at, k.id)
+		x.c.checker.JobRefused(at, k.id)
 		return "no_queue", 0, true
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 		return "unknown", resend, false
 	}
-	x.c.ledger.Break(at, promiseWhole, "job %s got status %d", k.id, resp.StatusCode)
+	x.c.checker.AddFinding(at, promiseComplete, "job %s got status %d", k.id, resp.StatusCode)
 	return "broken", 0, true
 }
 
-// count notes how a job went.
-func (x *callers) count(k *call, outcome string) {
+// recordOutcome records the outcome of a job.
+func (x *callers) recordOutcome(k *call, outcome string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.outcomes[outcome]++
 	last := x.plan.Calms
-	if len(last) == 0 || k.queue == droppable || k.sent < last[len(last)-1].From+recovery {
+	if len(last) == 0 || k.queue == droppableQueue || k.sent < last[len(last)-1].From+recoveryTime {
 		return
 	}
 	x.lastCalm.sent++
--- a/cmd/internal/soak/checker.go
+++ b/cmd/internal/soak/checker.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Finding is a promise that was broken.
+// Finding is a broken promise.
 type Finding struct {
 	At      time.Duration `json:"at"`
 	Promise string        `json:"promise"`
 	What    string        `json:"what"`
 }
 
-// Promises, as findings name them.
+// Names of the promises in findings.
 const (
 	promiseOneRun    = "one run of a task at a time"
-	promiseDone      = "no start after a job was said to be completed"
+	promiseNoRestart = "no start after a job was said to be completed"
 	promiseNotRun    = "not run is true"
-	promiseRoom      = "nothing over a worker's capacity"
+	promiseCapacity  = "nothing over a worker's capacity"
 	promiseCrashes   = "a task that crashes its workers is started five times at most"
-	promiseWhole     = "a completed job ran whole, a failed one had a cause"
-	promiseOwn       = "a task is what its caller sent"
+	promiseComplete  = "a completed job ran whole, a failed one had a cause"
+	promisePayload   = "a task is what its caller sent"
 	promiseDrain     = "no start on a leaving worker"
 	promiseRoute     = "no start of a dropped queue"
 	promiseEvacuated = "no start in an evacuated domain"
@@ -33,17 +33,18 @@
 	promiseRecovered = "served again after the faults"
 )
 
-// life is one life of a worker, for the ledger.
-type life struct {
+// workerIncarnation is one incarnation of a worker.
+type workerIncarnation struct {
 	name     string
 	domain   string
 	capacity int64
-	// lapsed tells whether its lease is over though its runs still show.
-	lapsed func() bool
+	// leaseLapsed reports whether its lease has lapsed, although its runs are
+	// still listed.
+	leaseLapsed func() bool
 
-	over     bool
-	draining time.Duration // when the agent had acknowledged it
-	running  map[string]taskRun
+	gone          bool
+	drainingSince time.Duration // when the agent acknowledged it
+	running       map[string]taskRun
 }
 
 type taskRun struct {
@@ -51,118 +52,120 @@
 	cpu int64
 }
 
-// job is one job of a caller, for the ledger.
-type job struct {
-	id        string
-	queue     string
-	tasks     int
-	begun     int
-	done      map[string]bool
-	failed    map[string]int // failed runs by task
-	crashed   map[string]int // workers that crashed, by the task that ran there
-	attempts  int            // requests that were made
-	asked     time.Duration  // the last of them
-	refused   int            // of them, refused
-	completed bool
+// jobRecord is what is known of one job of a caller.
+type jobRecord struct {
+	id             string
+	queue          string
+	tasks          int
+	startedRuns    int
+	doneTasks      map[string]bool
+	failedRuns     map[string]int // failed runs, by task
+	crashedWorkers map[string]int // crashed workers, by the task that ran on them
+	attempts       int            // requests sent
+	lastSent       time.Duration  // when the last request was sent
+	refused        int            // requests refused
+	completed      bool
 }
 
-// Ledger holds the promises against what callers and workers see. Its methods take
-// the time since the start and are safe for concurrent use.
-type Ledger struct {
-	// calm reports whether promises with a time bound hold at a moment.
+// Checker checks the promises against what callers and workers observe. Its
+// methods take the time since the start and are safe for concurrent use.
+type Checker struct {
+	// calm reports whether promises with a time bound apply at a given time.
 	calm func(time.Duration) bool
 
-	mu      sync.Mutex
-	jobs    map[string]*job
-	holders map[string]map[*life]bool // by task, where it runs
-	dropped map[string]time.Duration  // queues out of the configuration, since when that is in the store
-	// evacuated are failure domains, since when; two operators may have done so.
-	evacuated map[string][]time.Duration
-	findings  []Finding
-	starts    int
+	mu            sync.Mutex
+	jobs          map[string]*jobRecord
+	runningOn     map[string]map[*workerIncarnation]bool // workers that run the task, by task
+	droppedQueues map[string]time.Duration               // queues removed from the configuration, and when that was stored
+	// evacuatedDomains lists when each domain was evacuated; evacuations may
+	// overlap.
+	evacuatedDomains map[string][]time.Duration
+	findings         []Finding
+	starts           int
 }
 
-// Bounds of promises with a time, as the stand-in platform states them.
+// Time bounds and attempts that the stand-in platform promises.
 const (
 	drainBound         = 2 * time.Second
 	configurationBound = 2 * time.Second
 	attemptsPerTask    = 3
 )
 
-// NewLedger returns an empty ledger.
-func NewLedger(calm func(time.Duration) bool) *Ledger {
-	return &Ledger{
-		calm: calm, jobs: map[string]*job{}, holders: map[string]map[*life]bool{}, dropped: map[string]time.Duration{},
-		evacuated: map[string][]time.Duration{},
+// NewChecker returns a Checker without records. calm reports whether promises with
+// a time bound apply at a given time.
+func NewChecker(calm func(time.Duration) bool) *Checker {
+	return &Checker{
+		calm: calm, jobs: map[string]*jobRecord{}, runningOn: map[string]map[*workerIncarnation]bool{}, droppedQueues: map[string]time.Duration{},
+		evacuatedDomains: map[string][]time.Duration{},
 	}
 }
 
-// Break notes a broken promise.
-func (l *Ledger) Break(at time.Duration, promise, format string, args ...any) {
+// AddFinding records a broken promise.
+func (l *Checker) AddFinding(at time.Duration, promise, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.broken(at, promise, format, args...)
+	l.addFinding(at, promise, format, args...)
 }
 
-func (l *Ledger) broken(at time.Duration, promise, format string, args ...any) {
+func (l *Checker) addFinding(at time.Duration, promise, format string, args ...any) {
 	l.findings = append(l.findings, Finding{at, promise, fmt.Sprintf(format, args...)})
 }
 
-// Findings lists what was broken so far.
-func (l *Ledger) Findings() []Finding {
+// Findings returns the promises broken so far.
+func (l *Checker) Findings() []Finding {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Finding(nil), l.findings...)
 }
 
-// Starts is the number of runs so far.
-func (l *Ledger) Starts() int {
+// Starts returns the number of runs started so far.
+func (l *Checker) Starts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.starts
 }
 
-// Asked notes that a caller is about to send a job, for the first time or again.
-func (l *Ledger) Asked(at time.Duration, id, queue string, tasks int) {
+// JobSent records that a caller is about to send a job or to send it again.
+func (l *Checker) JobSent(at time.Duration, id, queue string, tasks int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
 	if j == nil {
-		j = &job{id: id, queue: queue, tasks: tasks, done: map[string]bool{}, failed: map[string]int{}, crashed: map[string]int{}}
+		j = &jobRecord{id: id, queue: queue, tasks: tasks, doneTasks: map[string]bool{}, failedRuns: map[string]int{}, crashedWorkers: map[string]int{}}
 		l.jobs[id] = j
 	}
 	j.attempts++
-	j.asked = at
+	j.lastSent = at
 }
 
-// Refused notes the answer that nothing ran.
-func (l *Ledger) Refused(at time.Duration, id string) {
+// JobRefused records a response which states that no task has started.
+func (l *Checker) JobRefused(at time.Duration, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
 	j.refused++
-	if j.attempts == 1 && j.begun > 0 {
-		l.broken(at, promiseNotRun, "job %s was refused, and %d of its tasks had begun", id, j.begun)
+	if j.attempts == 1 && j.startedRuns > 0 {
+		l.addFinding(at, promiseNotRun, "job %s was refused after %d of its tasks had started", id, j.startedRuns)
 	}
 }
 
-// Answered notes a job's outcome.
-func (l *Ledger) Answered(at time.Duration, id string, completed bool) {
+// JobAnswered records the outcome of a job.
+func (l *Checker) JobAnswered(at time.Duration, id string, completed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
 	switch {
-	case completed && len(j.done) < j.tasks:
-		l.broken(at, promiseWhole, "job %s was said to be completed, and %d of its %d tasks had ended well", id, len(j.done), j.tasks)
-	case !completed && len(j.failed) == 0 && !j.mayBeGivenUp():
-		l.broken(at, promiseWhole, "job %s was said to have failed, and no run of its tasks had", id)
+	case completed && len(j.doneTasks) < j.tasks:
+		l.addFinding(at, promiseComplete, "job %s was reported as completed, but only %d of its %d tasks had succeeded", id, len(j.doneTasks), j.tasks)
+	case !completed && len(j.failedRuns) == 0 && !j.mayBeAbandoned():
+		l.addFinding(at, promiseComplete, "job %s was reported as failed, but no run of its tasks had failed", id)
 	}
 	j.completed = j.completed || completed
 }
 
-// mayBeGivenUp reports whether two workers have crashed under one of its tasks.
-func (j *job) mayBeGivenUp() bool {
-	for _, n := range j.crashed {
+// mayBeAbandoned reports whether two workers have crashed under one of its tasks.
+func (j *jobRecord) mayBeAbandoned() bool {
+	for _, n := range j.crashedWorkers {
 		if n >= 2 {
 			return true
 		}
@@ -170,119 +173,120 @@
 	return false
 }
 
-// Began notes that a worker began a run.
-func (l *Ledger) Began(at time.Duration, w *life, task string, run uint32, spec specification) {
+// RunStarted records that a worker started a run.
+func (l *Checker) RunStarted(at time.Duration, w *workerIncarnation, task string, run uint32, spec specification) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.over {
+	if w.gone {
 		return
 	}
 	l.starts++
 	name, _, _ := strings.Cut(task, ".")
 	j := l.jobs[name]
 	if j == nil || spec.Job != name {
-		l.broken(at, promiseOwn, "task %s begins on %s with what was sent for job %q", task, w.name, spec.Job)
+		l.addFinding(at, promisePayload, "task %s starts on %s with the payload of job %q", task, w.name, spec.Job)
 		return
 	}
-	j.begun++
+	j.startedRuns++
 	if spec.Crashes {
-		l.beganCrashing(at, j, task)
+		l.checkCrashes(at, j, task)
 	}
-	l.beganJob(at, w, j, task)
-	l.beganOnce(at, w, task, run)
+	l.checkJob(at, w, j, task)
+	l.checkSingleRun(at, w, task, run)
 	w.running[task] = taskRun{run, spec.CPU}
-	l.beganWorker(at, w, task)
-	l.beganDomain(at, w, task)
+	l.checkWorker(at, w, task)
+	l.checkDomain(at, w, task)
 }
 
-// crashStarts is how often a task that crashes its workers may be started: until three have
-// crashed, and twice more.
-const crashStarts = 5
+// maxCrashStarts is how often a task that crashes its workers may be started: until
+// three workers have crashed, and twice more.
+const maxCrashStarts = 5
 
-func (l *Ledger) beganCrashing(at time.Duration, j *job, task string) {
-	if j.crashed[task] >= crashStarts {
-		l.broken(at, promiseCrashes, "task %s begins after %d workers have crashed under it", task, j.crashed[task])
+func (l *Checker) checkCrashes(at time.Duration, j *jobRecord, task string) {
+	if j.crashedWorkers[task] >= maxCrashStarts {
+		l.addFinding(at, promiseCrashes, "task %s starts after %d workers have crashed under it", task, j.crashedWorkers[task])
 	}
 }
 
-// Resized notes the capacity that a worker has from now on.
-func (l *Ledger) Resized(w *life, cpu int64) {
+// WorkerResized records the capacity that a worker has from now on.
+func (l *Checker) WorkerResized(w *workerIncarnation, cpu int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w.capacity = cpu
 }
 
-func (l *Ledger) beganJob(at time.Duration, w *life, j *job, task string) {
+func (l *Checker) checkJob(at time.Duration, w *workerIncarnation, j *jobRecord, task string) {
 	if j.completed {
-		l.broken(at, promiseDone, "task %s begins on %s", task, w.name)
+		l.addFinding(at, promiseNoRestart, "task %s starts on %s", task, w.name)
 	}
 	if j.attempts == 1 && j.refused == 1 {
-		l.broken(at, promiseNotRun, "task %s begins on %s, and its job was refused", task, w.name)
+		l.addFinding(at, promiseNotRun, "task %s starts on %s, but its job was refused", task, w.name)
 	}
-	since, dropped := l.dropped[j.queue]
-	if dropped && j.asked-since > configurationBound && l.calm(j.asked) {
-		l.broken(at, promiseRoute, "task %s begins on %s, and was sent %v after queue %s was dropped", task, w.name, j.asked-since, j.queue)
+	since, dropped := l.droppedQueues[j.queue]
+	if dropped && j.lastSent-since > configurationBound && l.calm(j.lastSent) {
+		l.addFinding(at, promiseRoute, "task %s starts on %s, but was sent %v after queue %s was dropped", task, w.name, j.lastSent-since, j.queue)
 	}
 }
 
-func (l *Ledger) beganOnce(at time.Duration, w *life, task string, run uint32) {
-	for other := range l.holders[task] {
-		if other == w || other.lapsed() {
+func (l *Checker) checkSingleRun(at time.Duration, w *workerIncarnation, task string, run uint32) {
+	for other := range l.runningOn[task] {
+		if other == w || other.leaseLapsed() {
 			continue
 		}
-		l.broken(at, promiseOneRun, "run %d of task %s begins on %s, and run %d goes on at %s",
+		l.addFinding(at, promiseOneRun, "run %d of task %s starts on %s while run %d continues on %s",
 			run, task, w.name, other.running[task].run, other.name)
 	}
-	if l.holders[task] == nil {
-		l.holders[task] = map[*life]bool{}
+	if l.runningOn[task] == nil {
+		l.runningOn[task] = map[*workerIncarnation]bool{}
 	}
-	l.holders[task][w] = true
+	l.runningOn[task][w] = true
 }
 
-func (l *Ledger) beganWorker(at time.Duration, w *life, task string) {
+func (l *Checker) checkWorker(at time.Duration, w *workerIncarnation, task string) {
 	var used int64
 	for _, r := range w.running {
 		used += r.cpu
 	}
 	if used > w.capacity {
-		l.broken(at, promiseRoom, "%s has %d of %d taken with task %s", w.name, used, w.capacity, task)
+		l.addFinding(at, promiseCapacity, "%s has %d of %d CPU in use with task %s", w.name, used, w.capacity, task)
 	}
-	if w.draining > 0 && at-w.draining > drainBound && l.calm(at) {
-		l.broken(at, promiseDrain, "task %s begins on %s, %v after it said that it leaves", task, w.name, at-w.draining)
+	if w.drainingSince > 0 && at-w.drainingSince > drainBound && l.calm(at) {
+		l.addFinding(at, promiseDrain, "task %s starts on %s, %v after its drain was acknowledged", task, w.name, at-w.drainingSince)
 	}
 }
 
-// beganDomain holds an evacuation, where it went through calm time alone.
-func (l *Ledger) beganDomain(at time.Duration, w *life, task string) {
-	for _, since := range l.evacuated[w.domain] {
+// checkDomain checks an evacuation if both its start and this run's start are in
+// calm time.
+func (l *Checker) checkDomain(at time.Duration, w *workerIncarnation, task string) {
+	for _, since := range l.evacuatedDomains[w.domain] {
 		if at-since > configurationBound && l.calm(at) && l.calm(since) {
-			l.broken(at, promiseEvacuated, "task %s begins on %s, %v after %s was evacuated", task, w.name, at-since, w.domain)
+			l.addFinding(at, promiseEvacuated, "task %s starts on %s, %v after %s was evacuated", task, w.name, at-since, w.domain)
 		}
 	}
 }
 
-// Evacuated notes that a failure domain was evacuated.
-func (l *Ledger) Evacuated(at time.Duration, domain string) {
+// DomainEvacuated records that a failure domain was evacuated.
+func (l *Checker) DomainEvacuated(at time.Duration, domain string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.evacuated[domain] = append(l.evacuated[domain], at)
+	l.evacuatedDomains[domain] = append(l.evacuatedDomains[domain], at)
 }
 
-// Restored notes that a failure domain is about to be restored.
-func (l *Ledger) Restored(domain string) {
+// DomainRestored records that a failure domain is about to be restored.
+func (l *Checker) DomainRestored(domain string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.evacuated, domain)
+	delete(l.evacuatedDomains, domain)
 }
 
-// Ended notes that a run ended; how is the worker's word for it.
-func (l *Ledger) Ended(w *life, task string, how string) {
+// RunEnded records that a run ended, with the outcome that the worker reports.
+func (l *Checker) RunEnded(w *workerIncarnation, task string, how string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.over {
+	if w.gone {
 		return
 	}
-	l.release(w, task)
+	l.removeRun(w, task)
 	name, _, _ := strings.Cut(task, ".")
 	j := l.jobs[name]
 	if j == nil {
@@ -290,67 +294,67 @@
 	}
 	switch how {
 	case "done":
-		j.done[task] = true
+		j.doneTasks[task] = true
 	case "failed":
-		j.failed[task]++
+		j.failedRuns[task]++
 	}
 }
 
-func (l *Ledger) release(w *life, task string) {
+func (l *Checker) removeRun(w *workerIncarnation, task string) {
 	delete(w.running, task)
-	delete(l.holders[task], w)
-	if len(l.holders[task]) == 0 {
-		delete(l.holders, task)
+	delete(l.runningOn[task], w)
+	if len(l.runningOn[task]) == 0 {
+		delete(l.runningOn, task)
 	}
 }
 
-// LifeOver notes that a worker is gone, with all that ran on it.
-func (l *Ledger) LifeOver(w *life) {
+// WorkerGone records that a worker is gone together with its runs.
+func (l *Checker) WorkerGone(w *workerIncarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w.over = true
+	w.gone = true
 	for task := range w.running {
 		name, _, _ := strings.Cut(task, ".")
-		l.jobs[name].crashed[task]++
-		l.release(w, task)
+		l.jobs[name].crashedWorkers[task]++
+		l.removeRun(w, task)
 	}
 }
 
-// Draining notes that a worker's agent has acknowledged that it leaves.
-func (l *Ledger) Draining(at time.Duration, w *life) {
+// WorkerDraining records that a worker's agent has acknowledged its drain.
+func (l *Checker) WorkerDraining(at time.Duration, w *workerIncarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.draining == 0 {
-		w.draining = at
+	if w.drainingSince == 0 {
+		w.drainingSince = at
 	}
 }
 
-// Queues notes which queues a new version has, and which it hasn't.
-func (l *Ledger) Queues(at time.Duration, has, lacks []string) {
+// QueuesChanged records which queues a new version contains and which it lacks.
+func (l *Checker) QueuesChanged(at time.Duration, has, lacks []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, q := range has {
-		delete(l.dropped, q)
+		delete(l.droppedQueues, q)
 	}
 	for _, q := range lacks {
-		l.dropped[q] = at
+		l.droppedQueues[q] = at
 	}
 }
 
-// CutOff reports whether a job whose caller got no answer had begun.
-func (l *Ledger) CutOff(id string) bool {
+// HasStarted reports whether a job whose caller got no answer had started.
+func (l *Checker) HasStarted(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.jobs[id].begun > 0
+	return l.jobs[id].startedRuns > 0
 }
 
-// Close looks at what only shows at the end.
-func (l *Ledger) Close(at time.Duration) {
+// CheckFinal performs the checks that are only possible at the end.
+func (l *Checker) CheckFinal(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, j := range l.jobs {
-		if j.begun > 0 && j.refused == j.attempts {
-			l.broken(at, promiseNotRun, "job %s was refused at each of %d attempts, and %d runs of it began", j.id, j.attempts, j.begun)
+		if j.startedRuns > 0 && j.refused == j.attempts {
+			l.addFinding(at, promiseNotRun, "job %s was refused at each of %d attempts, but %d of its runs started", j.id, j.attempts, j.startedRuns)
 		}
 	}
 }
--- a/cmd/internal/soak/cluster.go
+++ b/cmd/internal/soak/cluster.go
@@ -14,21 +14,21 @@
 	"github.com/papayahoist/papayahoist/platform/adapter/standin"
 )
 
-// What the stand-in platform states of itself.
+// Service name and time bounds of the stand-in platform.
 const (
 	service  = "s"
 	resend   = 1300 * time.Millisecond
 	maxLease = time.Second
 	grace    = 4 * time.Second
-	// slowStop is how long after a stop's signal a process is not waited for: far
-	// above the grace, so that a busy machine makes no finding.
-	slowStop = 3 * grace
-	// domains are the failure domains that entries and agents are spread over.
-	domains = 3
+	// stopTimeout is how long to wait for a process to exit after SIGTERM. It is far
+	// above the grace, so that a busy machine causes no finding.
+	stopTimeout = 3 * grace
+	// domainCount is the number of failure domains of entries and agents.
+	domainCount = 3
 )
 
-// Ports of a process, each on the process's own loopback address; those with a
-// relay in front have the relay's port beside them.
+// Ports of a process, on its own loopback address. A port behind a relay is
+// followed by that of the relay.
 const (
 	callersPort = 7400 + iota
 	callersRelayPort
@@ -44,15 +44,16 @@
 	storePort
 )
 
-// domainName is the failure domain of an entry, or of an agent and its worker.
-func domainName(index int) string { return fmt.Sprintf("domain-%d", index%domains) }
+// domainName returns the failure domain of an entry, or of an agent and its
+// worker.
+func domainName(index int) string { return fmt.Sprintf("domain-%d", index%domainCount) }
 
-// cluster is all that runs.
+// cluster holds all processes, stand-ins and relays of a soak.
 type cluster struct {
 	size    Size
 	dir     string
-	began   time.Time
-	ledger  *Ledger
+	started time.Time
+	checker *Checker
 	spawner *spawner
 	network int
 
@@ -64,40 +65,40 @@
 	logs    []*os.File
 }
 
-// node is a process with the relays on its paths.
+// node is a process with the relays in front of it.
 type node struct {
 	*daemon
 	ip       string
 	relays   map[Path]*site.Relay
-	stopping atomic.Bool // as planned
+	stopping atomic.Bool // a planned stop is under way
 }
 
-func (c *cluster) since() time.Duration { return time.Since(c.began) }
+func (c *cluster) since() time.Duration { return time.Since(c.started) }
 
-// ip is the loopback address of a process; 0 is the store's. Each soak on the
-// machine has a network of its own, so that no port is another's.
+// ip returns the loopback address of a process; index 0 is the store. Each soak
+// on a machine uses a network of its own, so that their ports don't collide.
 func (c *cluster) ip(index int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+c.network>>8&127, c.network&255, 1+index)
 }
 
-// networksTried is how many networks may be taken by other soaks.
+// networksTried limits how many networks are tried that other soaks may use.
 const networksTried = 64
 
 // claimNetwork starts the store on the first network on which its port is free.
 func (c *cluster) claimNetwork() (err error) {
 	for c.network = os.Getpid(); c.network < os.Getpid()+networksTried; c.network++ {
-		if err = c.serve(at(c.ip(0), storePort), c.store); err == nil {
+		if err = c.serve(hostPort(c.ip(0), storePort), c.store); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
 
 // newCluster starts the stand-ins, then the processes.
-func newCluster(o Options, size Size, ledger *Ledger) (*cluster, error) {
-	c := &cluster{size: size, dir: o.Keep, began: time.Now(), ledger: ledger, spawner: newSpawner(), store: standin.NewStore()}
+func newCluster(o Options, size Size, checker *Checker) (*cluster, error) {
+	c := &cluster{size: size, dir: o.Keep, started: time.Now(), checker: checker, spawner: newSpawner(), store: standin.NewStore()}
 	if err := c.startAll(o.Daemon); err != nil {
 		c.close()
 		return nil, err
@@ -111,7 +112,7 @@
 	}
 	var seeds []string
 	for i := range c.size.Entries {
-		seeds = append(seeds, at(c.ip(1+i), nodesRelayPort))
+		seeds = append(seeds, hostPort(c.ip(1+i), nodesRelayPort))
 	}
 	for i := range c.size.Entries {
 		n, err := c.newEntry(daemon, i, seeds)
@@ -151,9 +152,10 @@
 	return nil
 }
 
-// relay puts a relay on a path; port is that of the relay, backend where it leads.
+// relay starts a relay for a path on the given port that forwards to backend, and
+// returns its address.
 func (n *node) relay(path Path, port int, backend string) (string, error) {
-	r, err := site.NewRelayAt(at(n.ip, port), 0)
+	r, err := site.NewRelayAt(hostPort(n.ip, port), 0)
 	if err != nil {
 		return "", err
 	}
@@ -164,48 +166,48 @@
 
 func (c *cluster) newEntry(daemon string, i int, seeds []string) (*node, error) {
 	n := &node{ip: c.ip(1 + i), relays: map[Path]*site.Relay{}}
-	if _, err := n.relay(CallersToEntry, callersRelayPort, at(n.ip, callersPort)); err != nil {
+	if _, err := n.relay(CallersToEntry, callersRelayPort, hostPort(n.ip, callersPort)); err != nil {
 		return nil, err
 	}
-	if _, err := n.relay(NodesToEntry, nodesRelayPort, at(n.ip, nodesPort)); err != nil {
+	if _, err := n.relay(NodesToEntry, nodesRelayPort, hostPort(n.ip, nodesPort)); err != nil {
 		return nil, err
 	}
 	return n, c.daemon(n, daemon, fmt.Sprintf("entry-%d", i), "leased-entry", seeds, map[string]any{
-		"failure_domain": domainName(i), "callers_listen": at(n.ip, callersPort), "ready_listen": at(n.ip, readyPort),
-		"nodes_listen": at(n.ip, nodesPort), "nodes_address": at(n.ip, nodesRelayPort), "processor_share": 1,
+		"failure_domain": domainName(i), "callers_listen": hostPort(n.ip, callersPort), "ready_listen": hostPort(n.ip, readyPort),
+		"nodes_listen": hostPort(n.ip, nodesPort), "nodes_address": hostPort(n.ip, nodesRelayPort), "processor_share": 1,
 	})
 }
 
 func (c *cluster) newAgent(daemon string, i int, seeds []string) (*node, error) {
 	n := &node{ip: c.ip(1 + c.size.Entries + i), relays: map[Path]*site.Relay{}}
-	worker, err := n.relay(AgentToWorker, workerRelayPort, at(n.ip, workerPort))
+	worker, err := n.relay(AgentToWorker, workerRelayPort, hostPort(n.ip, workerPort))
 	if err != nil {
 		return nil, err
 	}
-	reports, err := n.relay(WorkerToAgent, reportsRelayPort, at(n.ip, reportsPort))
+	reports, err := n.relay(WorkerToAgent, reportsRelayPort, hostPort(n.ip, reportsPort))
 	if err != nil {
 		return nil, err
 	}
-	// Clocks of workers may be slow by a fiftieth.
-	h := &host{c: c, index: i, rate: 1 - 0.02*float64(i%3)/2, agent: reports}
-	if err := c.serve(at(n.ip, workerPort), h); err != nil {
+	// Clocks of workers may run up to 2 % slow.
+	h := &host{c: c, index: i, clockRate: 1 - 0.02*float64(i%3)/2, agentAddress: reports}
+	if err := c.serve(hostPort(n.ip, workerPort), h); err != nil {
 		return nil, err
 	}
 	c.hosts = append(c.hosts, h)
 	return n, c.daemon(n, daemon, fmt.Sprintf("agent-%d", i), "leased-agent", seeds, map[string]any{
-		"failure_domain": domainName(i), "reports_listen": at(n.ip, reportsPort), "worker_address": worker,
+		"failure_domain": domainName(i), "reports_listen": hostPort(n.ip, reportsPort), "worker_address": worker,
 		"connections": 8,
 	})
 }
 
-// daemon writes the settings of a process and prepares its runs.
+// daemon writes the settings file of a process and prepares its start.
 func (c *cluster) daemon(n *node, path, name, role string, seeds []string, set map[string]any) error {
-	store, err := n.relay(ProcessToStore, storeRelayPort, at(c.ip(0), storePort))
+	store, err := n.relay(ProcessToStore, storeRelayPort, hostPort(c.ip(0), storePort))
 	if err != nil {
 		return err
 	}
 	set["role"], set["name"], set["store_address"], set["seeds"] = role, name, store, seeds
-	set["metrics_listen"] = at(n.ip, metricsPort)
+	set["metrics_listen"] = hostPort(n.ip, metricsPort)
 	set["bounds"] = map[string]string{"resend": resend.String(), "max_lease": maxLease.String(), "stop": "50ms", "grace": grace.String()}
 	text, err := json.MarshalIndent(set, "", "  ")
 	if err != nil {
@@ -222,14 +224,14 @@
 	c.logs = append(c.logs, log)
 	n.daemon = &daemon{
 		name: name, spawner: c.spawner, path: path, args: []string{role, "--settings", file}, log: log,
-		ended: func(d *daemon, state *os.ProcessState) {
-			c.ledger.Break(c.since(), promiseStaysUp, "%s ended by itself: %v", d.name, state)
+		exitedUnexpectedly: func(d *daemon, state *os.ProcessState) {
+			c.checker.AddFinding(c.since(), promiseStaysUp, "%s ended by itself: %v", d.name, state)
 		},
 	}
 	return nil
 }
 
-// close ends everything that was started, by its id.
+// close stops everything that was started, and only that.
 func (c *cluster) close() {
 	for _, n := range c.nodes() {
 		n.kill()
--- a/cmd/internal/soak/daemon.go
+++ b/cmd/internal/soak/daemon.go
@@ -11,7 +11,7 @@
 )
 
 // spawner starts processes from one thread that lives as long as the soak: the
-// kernel ends each of them when that thread ends, however the soak ends.
+// kernel kills them when that thread ends, however the soak ends.
 type spawner struct{ work chan func() }
 
 func newSpawner() *spawner {
@@ -33,31 +33,31 @@
 
 func (s *spawner) close() { close(s.work) }
 
-// daemon is one process of the product, run after run. Its methods are safe for
-// concurrent use.
+// daemon is one process under test, through all its incarnations. Its methods are
+// safe for concurrent use.
 type daemon struct {
 	name    string
 	spawner *spawner
 	path    string
 	args    []string
 	log     *os.File
-	// ended is told of a run that ended though nobody ended it.
-	ended func(d *daemon, state *os.ProcessState)
+	// exitedUnexpectedly is called when an incarnation ends without having been told to.
+	exitedUnexpectedly func(d *daemon, state *os.ProcessState)
 
 	mu      sync.Mutex
 	current *incarnation
-	lives   int
+	starts  int
 }
 
-// incarnation is one run of a daemon.
+// incarnation is one start of a daemon.
 type incarnation struct {
-	cmd    *exec.Cmd
-	number int
-	done   chan struct{}
-	wanted bool // that it ends
+	cmd           *exec.Cmd
+	number        int
+	done          chan struct{}
+	exitRequested bool // its end was requested
 }
 
-// start runs the daemon, if it doesn't run.
+// start starts the daemon if it isn't running.
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,8 +70,8 @@
 	if err := d.spawner.start(c); err != nil {
 		return ErrStart.Wrap(err, "%s", d.name)
 	}
-	d.lives++
-	i := &incarnation{cmd: c, number: d.lives, done: make(chan struct{})}
+	d.starts++
+	i := &incarnation{cmd: c, number: d.starts, done: make(chan struct{})}
 	d.current = i
 	go d.wait(i)
 	return nil
@@ -80,17 +80,17 @@
 func (d *daemon) wait(i *incarnation) {
 	_ = i.cmd.Wait()
 	d.mu.Lock()
-	wanted := i.wanted
+	wanted := i.exitRequested
 	d.current = nil
 	d.mu.Unlock()
 	close(i.done)
 	if !wanted {
-		d.ended(d, i.cmd.ProcessState)
+		d.exitedUnexpectedly(d, i.cmd.ProcessState)
 	}
 }
 
-// life is the number of the run that goes on; zero: none.
-func (d *daemon) life() int {
+// incarnation returns the number of the current incarnation; zero if none is running.
+func (d *daemon) incarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.current == nil {
@@ -99,7 +99,7 @@
 	return d.current.number
 }
 
-// kill ends the process at once; false when none runs.
+// kill ends the process at once. It returns false if none is running.
 func (d *daemon) kill() bool {
 	i := d.signal(syscall.SIGKILL, true)
 	if i == nil {
@@ -109,8 +109,8 @@
 	return true
 }
 
-// errSlowStop is given for a process that outlives its grace by far.
-var errSlowStop = errors.New("still there long after its grace")
+// errStopTimeout is returned for a process that long outlives its grace.
+var errStopTimeout = errors.New("process still running long after its grace")
 
 // stop ends the process as an operator does.
 func (d *daemon) stop(patience time.Duration) (was bool, err error) {
@@ -123,11 +123,11 @@
 		return true, nil
 	case <-time.After(patience):
 		d.kill()
-		return true, errSlowStop
+		return true, errStopTimeout
 	}
 }
 
-// pause freezes the process for a while.
+// pause suspends the process for a while.
 func (d *daemon) pause(length time.Duration) bool {
 	i := d.signal(syscall.SIGSTOP, false)
 	if i == nil {
@@ -141,7 +141,7 @@
 	return true
 }
 
-// signal reaches the run that goes on; nil: none.
+// signal signals the current incarnation and returns it; nil if none is running.
 func (d *daemon) signal(s syscall.Signal, ends bool) *incarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,7 +149,7 @@
 	if i == nil {
 		return nil
 	}
-	i.wanted = i.wanted || ends
+	i.exitRequested = i.exitRequested || ends
 	_ = i.cmd.Process.Signal(s)
 	return i
 }
--- a/cmd/internal/soak/inject.go
+++ b/cmd/internal/soak/inject.go
@@ -8,24 +8,25 @@
 	"github.com/papayahoist/papayahoist/platform/adapter/standin"
 )
 
-// injector carries out the actions of a schedule.
+// injector performs the actions of a schedule.
 type injector struct {
-	c    *cluster
-	o    *operator
-	note func(a Action, done bool)
-	wg   sync.WaitGroup
+	c      *cluster
+	o      *operator
+	record func(a Action, done bool)
+	wg     sync.WaitGroup
 }
 
-// do begins an action, which goes on by itself.
+// do starts an action in the background.
 func (i *injector) do(a Action) {
-	i.wg.Go(func() { i.note(a, i.act(a)) })
+	i.wg.Go(func() { i.record(a, i.perform(a)) })
 }
 
-// restartPause is how long a process or worker is away before a new one begins.
+// restartPause is how long a process or worker stays down before it is restarted.
 func restartPause(a Action) time.Duration { return a.For / 2 }
 
-// act carries out an action and undoes it; false when what it aims at isn't there.
-func (i *injector) act(a Action) bool {
+// perform performs an action and reverts it. It returns false if the target isn't
+// running.
+func (i *injector) perform(a Action) bool {
 	switch a.Kind {
 	case StopProcess, KillProcess, PauseProcess, KillAll:
 		return i.processes(a)
@@ -33,10 +34,10 @@
 		return i.worker(a, i.c.hosts[a.Worker])
 	case HoldLink, ResetLink, SlowLink:
 		return i.link(a)
-	case StoreFails, ForgetChange:
+	case StoreFails, ForgetChanges:
 		i.store(a)
 	default:
-		i.operate(a)
+		i.operatorAction(a)
 	}
 	return true
 }
@@ -69,9 +70,9 @@
 func (i *injector) stop(a Action, n *node) bool {
 	n.stopping.Store(true)
 	defer n.stopping.Store(false)
-	done, err := n.daemon.stop(slowStop)
+	done, err := n.daemon.stop(stopTimeout)
 	if err != nil {
-		i.c.ledger.Break(i.c.since(), promiseStop, "%s: %v", n.name, err)
+		i.c.checker.AddFinding(i.c.since(), promiseStop, "%s: %v", n.name, err)
 	}
 	time.Sleep(restartPause(a))
 	i.start(n)
@@ -80,7 +81,7 @@
 
 func (i *injector) start(n *node) {
 	if err := n.start(); err != nil {
-		i.c.ledger.Break(i.c.since(), promiseStaysUp, "%s doesn't start: %v", n.name, err)
+		i.c.checker.AddFinding(i.c.since(), promiseStaysUp, "%s failed to start: %v", n.name, err)
 	}
 }
 
@@ -115,21 +116,22 @@
 	return true
 }
 
-// slowLink is far above what loopback takes, and below what links are lost at.
-const slowLink = 40 * time.Millisecond
+// slowLinkDelay is far above the usual delay on loopback, and too short for links to
+// be considered lost.
+const slowLinkDelay = 40 * time.Millisecond
 
 func (i *injector) link(a Action) bool {
 	r := i.c.nodes()[a.Process].relays[a.Path]
 	if r == nil {
-		// A path that only agents have.
+		// Only agents have this path.
 		r = i.c.agents[a.Worker].relays[a.Path]
 	}
 	switch a.Kind {
 	case ResetLink:
-		r.Break()
+		r.CloseConnections()
 		return true
 	case SlowLink:
-		r.SetDelay(slowLink)
+		r.SetDelay(slowLinkDelay)
 		defer r.SetDelay(0)
 	default:
 		r.Hold(site.Direction(a.Arg), a.Every)
@@ -140,7 +142,7 @@
 }
 
 func (i *injector) store(a Action) {
-	if a.Kind == ForgetChange {
+	if a.Kind == ForgetChanges {
 		i.c.store.DropHistory()
 		return
 	}
@@ -149,7 +151,7 @@
 	i.c.store.SetFault(standin.Sound)
 }
 
-func (i *injector) operate(a Action) {
+func (i *injector) operatorAction(a Action) {
 	switch a.Kind {
 	case NewVersion:
 		i.o.write()
@@ -158,12 +160,12 @@
 		i.o.evacuate(domainName(a.Worker), a.For)
 		return
 	case OldVersion:
-		i.o.old()
-	case NoVersion:
-		i.o.unreadable()
-	case SameTimeWrite:
-		i.o.race()
+		i.o.writeOld()
+	case UnreadableVersion:
+		i.o.writeUnreadable()
+	case RacingVersions:
+		i.o.writeRacing()
 	}
 	time.Sleep(a.For)
-	i.o.right()
+	i.o.rewriteNewest()
 }
--- a/cmd/internal/soak/mutate.sh
+++ b/cmd/internal/soak/mutate.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Runs soaks against builds of papayahoistd with one fault in the decisions each, from
-# dispatch/leasedcheck/mutations.txt, on an overlay: the sources stay as they are.
-# Prints, for each, the first seed that catches it and by what. Usage:
-# mutate.sh [seeds [size [duration [at a time]]]]
+# Mutation test: runs soaks against builds of papayahoistd that each contain one fault
+# from dispatch/leasedcheck/mutations.txt. The faults are applied in a build overlay;
+# the sources are not changed. Prints, for each fault, the first seed that detects it
+# and the promise that was broken. Usage:
+# mutate.sh [seeds [size [duration [parallel runs]]]]
 set -euo pipefail
 cd "$(dirname "$0")/../../.."
 seeds=${1:-6} size=${2:-small} duration=${3:-40s} parallel=${4:-6}
--- a/cmd/internal/soak/operator.go
+++ b/cmd/internal/soak/operator.go
@@ -12,20 +12,20 @@
 	"github.com/papayahoist/papayahoist/platform/adapter"
 )
 
-// Queues. The fixed ones are in each version; droppable in those with an even
-// number; and each version has one of its own, by which to tell whether it is in
-// force.
+// Queues of the configuration. The fixed ones are in every version, droppableQueue in
+// versions with an even number. Each version also has a queue of its own, which
+// shows whether it is in force.
 const (
-	fixedQueues = 3
-	droppable   = "/dropped/"
+	fixedQueues    = 3
+	droppableQueue = "/dropped/"
 )
 
 func fixedQueue(n int) string { return fmt.Sprintf("/queue%d/", n) }
 
 func versionQueue(version int) string { return fmt.Sprintf("/version%d/", version) }
 
-// operator writes versions of the configuration, and asks the entries which one is
-// in force.
+// operator writes versions of the configuration, and polls the entries for the
+// version in force.
 type operator struct {
 	c      *cluster
 	client *http.Client
@@ -36,16 +36,16 @@
 	seen    map[string]seenVersion // by entry
 }
 
-// seenVersion is what one run of an entry has shown.
-type seenVersion struct{ life, version int }
+// seenVersion is the newest version that an incarnation of an entry has shown.
+type seenVersion struct{ incarnation, version int }
 
 func newOperator(c *cluster) *operator {
-	return &operator{c: c, client: &http.Client{Timeout: askTimeout}, seen: map[string]seenVersion{}}
+	return &operator{c: c, client: &http.Client{Timeout: requestTimeout}, seen: map[string]seenVersion{}}
 }
 
 const (
-	askTimeout = time.Second
-	askEvery   = 150 * time.Millisecond
+	requestTimeout = time.Second
+	pollInterval   = 150 * time.Millisecond
 )
 
 func manifest(version int) []byte {
@@ -60,14 +60,14 @@
 		add(fixedQueue(i))
 	}
 	if version%2 == 0 {
-		add(droppable)
+		add(droppableQueue)
 	}
 	add(versionQueue(version))
 	text, _ := json.Marshal(map[string]any{"version": version, "routes": routes, "services": []any{map[string]any{"name": service}}})
 	return text
 }
 
-// write puts the next version into the store.
+// write stores the next version.
 func (o *operator) write() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -75,8 +75,8 @@
 	o.put(o.version)
 }
 
-// race writes the next versions at once, the newest before an older one.
-func (o *operator) race() {
+// writeRacing stores several new versions at once, the newest before an older one.
+func (o *operator) writeRacing() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.version += 3
@@ -85,19 +85,19 @@
 	}
 }
 
-// old writes an earlier version again: it must change nothing.
-func (o *operator) old() {
+// writeOld stores an earlier version again, which must have no effect.
+func (o *operator) writeOld() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.put(max(1, o.version-1))
 }
 
-// unreadable writes what is no configuration.
-func (o *operator) unreadable() { o.c.store.Put(adapter.ConfigurationKey, []byte("\x00{")) }
+// writeUnreadable stores bytes that are not a configuration.
+func (o *operator) writeUnreadable() { o.c.store.Put(adapter.ConfigurationKey, []byte("\x00{")) }
 
-// right writes the newest version over what went wrong: an entry that was away has
-// no other way to know it.
-func (o *operator) right() {
+// rewriteNewest stores the newest version again after a faulty write: an entry that
+// was down has no other way to learn it.
+func (o *operator) rewriteNewest() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.put(o.version)
@@ -108,12 +108,12 @@
 	if version < o.version {
 		return
 	}
-	// Written again, it counts from then: it may not have been read before.
+	// The time bound starts again: entries may not have read the earlier write.
 	o.written = o.c.since()
 	if version%2 == 0 {
-		o.c.ledger.Queues(o.written, []string{droppable}, nil)
+		o.c.checker.QueuesChanged(o.written, []string{droppableQueue}, nil)
 	} else {
-		o.c.ledger.Queues(o.written, nil, []string{droppable})
+		o.c.checker.QueuesChanged(o.written, nil, []string{droppableQueue})
 	}
 }
 
@@ -121,22 +121,22 @@
 func (o *operator) evacuate(domain string, lasts time.Duration) {
 	key := adapter.EvacuationKey(domain)
 	o.c.store.Put(key, []byte("{}"))
-	o.c.ledger.Evacuated(o.c.since(), domain)
+	o.c.checker.DomainEvacuated(o.c.since(), domain)
 	time.Sleep(lasts)
-	o.c.ledger.Restored(domain)
+	o.c.checker.DomainRestored(domain)
 	o.c.store.Remove(key)
 }
 
-// run asks all entries until the context ends.
+// run polls all entries until the context ends.
 func (o *operator) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, e := range o.c.entries {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				o.ask(ctx, e)
+				o.checkEntry(ctx, e)
 				select {
 				case <-ctx.Done():
-				case <-time.After(askEvery):
+				case <-time.After(pollInterval):
 				}
 			}
 		})
@@ -144,35 +144,35 @@
 	wg.Wait()
 }
 
-// ask looks which version is in force at an entry: that of its answer about the
-// newest one's queue.
-func (o *operator) ask(ctx context.Context, e *node) {
+// checkEntry checks which version is in force at an entry, by whether it serves the
+// queue of the newest version.
+func (o *operator) checkEntry(ctx context.Context, e *node) {
 	o.mu.Lock()
 	version, written, seen := o.version, o.written, o.seen[e.name]
 	o.mu.Unlock()
-	life, asked := e.life(), o.c.since()
-	if life == 0 || version == 0 {
+	incarnation, asked := e.incarnation(), o.c.since()
+	if incarnation == 0 || version == 0 {
 		return
 	}
-	if seen.life != life {
-		seen = seenVersion{life: life}
+	if seen.incarnation != incarnation {
+		seen = seenVersion{incarnation: incarnation}
 	}
-	// Around the relay: how the network fails must not look like a version.
-	has, ok := o.has(ctx, e, version)
-	if !ok || e.life() != life {
+	// Bypass the relay: a network fault must not be mistaken for a version change.
+	has, ok := o.hasVersion(ctx, e, version)
+	if !ok || e.incarnation() != incarnation {
 		return
 	}
 	switch {
 	case has:
 		seen.version = max(seen.version, version)
-	case seen.version >= version && o.newest() == version:
-		o.c.ledger.Break(o.c.since(), promiseNoRevert, "%s no longer goes by version %d, which it had", e.name, version)
-	case asked-written > configurationBound && o.c.ledger.calm(asked) && o.c.ledger.calm(written):
-		o.c.ledger.Break(o.c.since(), promiseInForce, "%s doesn't go by version %d, %v after it was written", e.name, version, asked-written)
+	case seen.version >= version && o.newestVersion() == version:
+		o.c.checker.AddFinding(o.c.since(), promiseNoRevert, "%s no longer applies version %d, which was in force", e.name, version)
+	case asked-written > configurationBound && o.c.checker.calm(asked) && o.c.checker.calm(written):
+		o.c.checker.AddFinding(o.c.since(), promiseInForce, "%s doesn't apply version %d, %v after it was written", e.name, version, asked-written)
 	}
 	if older := version - 1; older > 0 && seen.version >= version {
-		if has, ok := o.has(ctx, e, older); ok && has && e.life() == life {
-			o.c.ledger.Break(o.c.since(), promiseNoRevert, "%s goes by version %d again, after %d", e.name, older, seen.version)
+		if has, ok := o.hasVersion(ctx, e, older); ok && has && e.incarnation() == incarnation {
+			o.c.checker.AddFinding(o.c.since(), promiseNoRevert, "%s applies version %d again, after %d", e.name, older, seen.version)
 		}
 	}
 	o.mu.Lock()
@@ -180,15 +180,16 @@
 	o.mu.Unlock()
 }
 
-func (o *operator) newest() int {
+func (o *operator) newestVersion() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.version
 }
 
-// has asks whether an entry knows the queue of a version; not ok: it can't tell.
-func (o *operator) has(ctx context.Context, e *node, version int) (has, ok bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at(e.ip, callersPort)+versionQueue(version), nil)
+// hasVersion reports whether an entry serves the queue of a version; ok is false if
+// that is not known.
+func (o *operator) hasVersion(ctx context.Context, e *node, version int) (has, ok bool) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+hostPort(e.ip, callersPort)+versionQueue(version), nil)
 	if err != nil {
 		return false, false
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -14,33 +14,33 @@
 // Options configure Run.
 type Options struct {
 	Schedule Schedule
-	// Daemon is the program that runs entries and agents.
+	// Daemon is the path of the program that runs entries and agents.
 	Daemon string
-	// Keep is a folder for settings, logs and what was found; it must be there.
+	// Keep is an existing folder for settings, logs and the report.
 	Keep string
-	// Untimed leaves out the promises with a time bound, so that a busy machine
-	// changes no verdict.
+	// Untimed disables the promises with a time bound, so that a busy machine
+	// can't change the verdict.
 	Untimed bool
-	// Progress is told of each finding and now and then of the time; may be nil.
+	// Progress is called with each action when it starts; it may be nil.
 	Progress func(format string, args ...any)
 }
 
-// Report is what a soak saw.
+// Report is the result of a soak.
 type Report struct {
 	Seed     uint64         `json:"seed"`
 	Size     string         `json:"size"`
 	Duration string         `json:"duration"`
 	Jobs     map[string]int `json:"jobs"`
 	Starts   int            `json:"starts"`
-	// Actions by kind, and those that found nothing to hit.
+	// Actions by kind, and those whose target wasn't running.
 	Actions map[Kind]int `json:"actions"`
 	Idle    map[Kind]int `json:"idle_actions,omitempty"`
-	// Processes started in all.
+	// Processes is the number of processes started.
 	Processes int       `json:"processes"`
 	Findings  []Finding `json:"findings"`
 }
 
-// Err is of type ErrPromise when something was broken.
+// Err returns an error of type ErrPromise if a promise was broken.
 func (r *Report) Err() error {
 	if len(r.Findings) == 0 {
 		return nil
@@ -49,7 +49,7 @@
 	return ErrPromise.New("%d findings; the first after %v: %s: %s", len(r.Findings), f.At.Round(time.Millisecond), f.Promise, f.What)
 }
 
-// Names of the files that Run leaves in Options.Keep.
+// Names of the files that Run writes to Options.Keep.
 const (
 	ScheduleFile = "schedule.json"
 	ReportFile   = "report.json"
@@ -57,12 +57,13 @@
 
 var discardLog = log.New(io.Discard, "", 0)
 
-// recoveredPart of the jobs sent after the last fault must be served. All are on a
-// machine with time to spare; the rest is room for one without.
-const recoveredPart = 0.5
+// minRecoveredShare is the minimum fraction of the jobs sent after the last fault
+// that must be answered. With CPU to spare all of them are; the margin allows for a
+// busy machine.
+const minRecoveredShare = 0.5
 
-// Run plays a schedule. The error says that it couldn't be played, or that the
-// context ended; what was broken is in the report.
+// Run executes a schedule. It returns an error if that wasn't possible or if the
+// context ended; broken promises are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	size, ok := SizeByName(o.Schedule.Size)
 	if !ok {
@@ -71,7 +72,7 @@
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
 	}
-	if err := keep(o.Keep, ScheduleFile, o.Schedule); err != nil {
+	if err := writeJSON(o.Keep, ScheduleFile, o.Schedule); err != nil {
 		return nil, err
 	}
 	plan := &o.Schedule
@@ -79,13 +80,13 @@
 	if o.Untimed {
 		calm = func(time.Duration) bool { return false }
 	}
-	ledger := NewLedger(calm)
-	c, err := newCluster(o, size, ledger)
+	checker := NewChecker(calm)
+	c, err := newCluster(o, size, checker)
 	if err != nil {
 		return nil, err
 	}
 	defer c.close()
-	p := &play{o: o, c: c, operator: newOperator(c), report: &Report{
+	p := &execution{o: o, c: c, operator: newOperator(c), report: &Report{
 		Seed: plan.Seed, Size: plan.Size, Duration: plan.Duration.String(), Actions: map[Kind]int{}, Idle: map[Kind]int{},
 	}}
 	p.callers = newCallers(c, plan)
@@ -93,10 +94,10 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return p.report, keep(o.Keep, ReportFile, p.report)
+	return p.report, writeJSON(o.Keep, ReportFile, p.report)
 }
 
-func keep(dir, name string, v any) error {
+func writeJSON(dir, name string, v any) error {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, name), append(text, '\n'), 0o600)
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// play is one run of a schedule.
-type play struct {
+// execution is one execution of a schedule.
+type execution struct {
 	o        Options
 	c        *cluster
 	operator *operator
@@ -118,12 +119,12 @@
 	report *Report
 }
 
-func (p *play) run(ctx context.Context) {
+func (p *execution) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.o.Schedule.Duration-p.c.since())
 	defer cancel()
 	p.operator.write()
 	p.operator.write()
-	inject := &injector{c: p.c, o: p.operator, note: p.noted}
+	inject := &injector{c: p.c, o: p.operator, record: p.recordAction}
 	var wg sync.WaitGroup
 	wg.Go(func() { p.operator.run(ctx) })
 	wg.Go(func() { p.callers.run(ctx) })
@@ -137,7 +138,7 @@
 	}
 	wg.Wait()
 	inject.wg.Wait()
-	p.end()
+	p.finish()
 }
 
 func describe(a Action) string {
@@ -145,7 +146,7 @@
 	return string(text)
 }
 
-func (p *play) noted(a Action, done bool) {
+func (p *execution) recordAction(a Action, done bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Actions[a.Kind]++
@@ -154,17 +155,17 @@
 	}
 }
 
-// end takes the last look.
-func (p *play) end() {
+// finish performs the final checks and completes the report.
+func (p *execution) finish() {
 	at := p.c.since()
-	p.c.ledger.Close(at)
+	p.c.checker.CheckFinal(at)
 	last := p.callers.lastCalm
-	if !p.o.Untimed && float64(last.completed) < recoveredPart*float64(last.sent) {
-		p.c.ledger.Break(at, promiseRecovered, "%d of %d jobs were answered well after the last fault", last.completed, last.sent)
+	if !p.o.Untimed && float64(last.completed) < minRecoveredShare*float64(last.sent) {
+		p.c.checker.AddFinding(at, promiseRecovered, "only %d of %d jobs were answered after the last fault", last.completed, last.sent)
 	}
 	r := p.report
-	r.Jobs, r.Starts, r.Findings = p.callers.outcomes, p.c.ledger.Starts(), p.c.ledger.Findings()
+	r.Jobs, r.Starts, r.Findings = p.callers.outcomes, p.c.checker.Starts(), p.c.checker.Findings()
 	for _, n := range p.c.nodes() {
-		r.Processes += n.lives
+		r.Processes += n.starts
 	}
 }
--- a/cmd/internal/soak/run_test.go
+++ b/cmd/internal/soak/run_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// daemonProgram builds the real program, which a soak runs as processes.
+// daemonProgram builds the daemon that the soak starts.
 func daemonProgram(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "papayahoistd")
@@ -19,8 +19,8 @@
 	return file
 }
 
-// A short soak of real processes. Promises with a time bound are left out: a busy
-// machine must not change the verdict.
+// Runs a short soak of real processes. Promises with a time bound are disabled, so
+// that a busy machine can't change the verdict.
 func TestShortSoak(t *testing.T) {
 	t.Parallel()
 	size, _ := SizeByName("small")
@@ -45,13 +45,12 @@
 		}
 	}
 	if again, err := ReadSchedule(filepath.Join(dir, ScheduleFile)); err != nil || len(again.Actions) != len(schedule.Actions) {
-		t.Errorf("the kept schedule can't be played again: %v", err)
+		t.Errorf("the saved schedule can't be replayed: %v", err)
 	}
 }
 
-// A program that ends by itself must be found out, or a crash in the field would
-// pass a soak unseen.
-func TestSoakFindsAProcessThatEnds(t *testing.T) {
+// A process that exits by itself must be reported, or a crash would go unnoticed.
+func TestSoakReportsUnexpectedExit(t *testing.T) {
 	t.Parallel()
 	size, _ := SizeByName("small")
 	schedule, _ := Plan(1, 20*time.Second, size)
--- a/cmd/internal/soak/schedule.go
+++ b/cmd/internal/soak/schedule.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Size is how big a site is, and what it is asked to do.
+// Size is the number of processes of a site and its load.
 type Size struct {
 	Name             string
 	Entries, Workers int
 	JobsPerSecond    float64
 }
 
-// Sizes by name. In a fleet agents are linked to some of the entries only. Large is a few hundred processes and relays, on addresses of one
+// sizes lists the sizes by name. In a fleet, agents are linked to a subset of the
+// entries only. Large has a few hundred processes and relays, on addresses of one
 // network of 254.
 var sizes = []Size{
 	{"small", 2, 3, 15},
@@ -25,7 +26,7 @@
 	{"large", 12, 150, 250},
 }
 
-// SizeByName finds a size.
+// SizeByName returns the size with the given name.
 func SizeByName(name string) (Size, bool) {
 	i := slices.IndexFunc(sizes, func(s Size) bool { return s.Name == name })
 	if i < 0 {
@@ -34,40 +35,40 @@
 	return sizes[i], true
 }
 
-// Kind is what an action does.
+// Kind is the kind of an action.
 type Kind string
 
-// Kinds of actions. Those on processes name an entry or an agent by its index.
+// Kinds of actions. Those on processes select an entry or an agent by its index.
 const (
-	StopProcess  Kind = "stop_process" // planned: SIGTERM, then a new process
+	StopProcess  Kind = "stop_process" // planned: SIGTERM, then a restart
 	KillProcess  Kind = "kill_process"
 	PauseProcess Kind = "pause_process" // SIGSTOP, then SIGCONT
 	KillAll      Kind = "kill_all"
 
-	CrashWorker Kind = "crash_worker" // and a new life
-	DrainWorker Kind = "drain_worker" // it says that it leaves; then a new life
+	CrashWorker Kind = "crash_worker" // then restart it
+	DrainWorker Kind = "drain_worker" // drain it, then restart it
 	FailRuns    Kind = "fail_runs"    // each run on the worker fails
-	StallRuns   Kind = "stall_runs"   // runs begin and don't end
-	LoseCalls   Kind = "lose_calls"   // calls to the worker, or their answers, are lost
+	StallRuns   Kind = "stall_runs"   // runs start and don't end
+	LoseCalls   Kind = "lose_calls"   // calls to the worker, or their responses, are lost
 
-	ResizeWorker Kind = "resize_worker" // its capacity halves, and comes back
+	ResizeWorker Kind = "resize_worker" // its capacity is halved for a while
 
-	StoreFails   Kind = "store_fails" // in the way that Arg names
-	ForgetChange Kind = "store_forgets_changes"
+	StoreFails    Kind = "store_fails" // Arg selects the fault
+	ForgetChanges Kind = "store_forgets_changes"
 
 	HoldLink  Kind = "hold_link" // bytes are delivered late
 	ResetLink Kind = "reset_link"
 	SlowLink  Kind = "slow_link"
 
-	NewVersion    Kind = "new_version"
-	OldVersion    Kind = "old_version"        // an operator writes an older one again
-	NoVersion     Kind = "unreadable_version" // bytes that are no configuration
-	SameTimeWrite Kind = "versions_race"      // several versions at once, not in order
+	NewVersion        Kind = "new_version"
+	OldVersion        Kind = "old_version"        // an operator writes an older version again
+	UnreadableVersion Kind = "unreadable_version" // bytes that are not a configuration
+	RacingVersions    Kind = "versions_race"      // several versions at once, out of order
 
-	EvacuateDomain Kind = "evacuate_domain" // that of Worker; then it is restored
+	EvacuateDomain Kind = "evacuate_domain" // the domain of Worker, for a while
 )
 
-// Path is a link on which a relay stands.
+// Path is a link that passes through a relay.
 type Path string
 
 // Paths.
@@ -79,39 +80,38 @@
 	WorkerToAgent  Path = "worker_agent"
 )
 
-// storeFaults is how many ways to fail the stand-in of the store has.
+// storeFaults is the number of faults that the stand-in store supports.
 const storeFaults = 3
 
-// Action is one thing that goes wrong, or that an operator does.
+// Action is a fault or an operator's action.
 type Action struct {
 	At   time.Duration `json:"at"`
 	For  time.Duration `json:"for,omitempty"`
 	Kind Kind          `json:"kind"`
-	// Process is an index into entries followed by agents; Worker one into workers.
+	// Process is an index into entries followed by agents; Worker is an index into
+	// workers.
 	Process int  `json:"process,omitempty"`
 	Worker  int  `json:"worker,omitempty"`
 	Path    Path `json:"path,omitempty"`
-	// Arg is the store's fault, or the direction that is held.
+	// Arg is the fault of the store, or the direction that is held.
 	Arg int `json:"arg,omitempty"`
-	// Every so many connections of a link are hit.
+	// Every n-th connection of a link is affected.
 	Every int `json:"every,omitempty"`
-	// Calm: it comes while nothing else is wrong, so that promises with a time
-	// bound hold.
+	// Calm is set if no fault is present, so that promises with a time bound apply.
 	Calm bool `json:"calm,omitempty"`
 }
 
-// Schedule is all that a seed decides.
+// Schedule is everything that a seed determines.
 type Schedule struct {
 	Seed     uint64        `json:"seed"`
 	Duration time.Duration `json:"duration"`
 	Size     string        `json:"size"`
 	Actions  []Action      `json:"actions"`
-	// Calms are the spans without a fault, from which the first part is for
-	// getting over the last ones.
+	// Calms are the spans without faults. The first part of each is for recovery.
 	Calms []Span `json:"calms"`
 }
 
-// Span is a stretch of time.
+// Span is a time interval.
 type Span struct {
 	From time.Duration `json:"from"`
 	To   time.Duration `json:"to"`
@@ -119,76 +119,79 @@
 
 // Times of a schedule.
 const (
-	// warmUp is for starting all processes.
+	// warmUp is the time for starting all processes.
 	warmUp = 3 * time.Second
-	// recovery is how long after the last fault all must be well again.
-	recovery = 6 * time.Second
-	// calmLength leaves room for a change in a calm span to be in force.
-	calmLength = recovery + 4*time.Second
-	// stormLength is the longest stretch of faults between calm spans.
-	stormLength = 12 * time.Second
-	// evacuation is how long a domain is evacuated in a calm span: longer than the word
-	// may take.
-	evacuation = configurationBound + 1500*time.Millisecond
-	// faultLength is the longest time that one fault goes on.
-	faultLength = 3 * time.Second
-	// meanGap is between two series of faults on the usual size; larger sites get
-	// more, as each process has its own.
-	meanGap = 700 * time.Millisecond
-	// minGap keeps most of a large site at work. With 27 series a second at 162
-	// processes, held links and those dialled in their place took 20,000 files.
-	minGap = 200 * time.Millisecond
+	// recoveryTime is the time after the last fault within which everything must
+	// work again.
+	recoveryTime = 6 * time.Second
+	// calmSpanLength leaves time for a change in a calm span to take effect.
+	calmSpanLength = recoveryTime + 4*time.Second
+	// faultPeriodLength is the longest period of faults between calm spans.
+	faultPeriodLength = 12 * time.Second
+	// evacuationLength is how long a domain is evacuated in a calm span. It exceeds
+	// the time in which entries must apply the evacuation.
+	evacuationLength = configurationBound + 1500*time.Millisecond
+	// maxFaultLength is the longest duration of one fault.
+	maxFaultLength = 3 * time.Second
+	// meanSeriesGap is the mean time between two series of faults at the usual size.
+	// Larger sites get more faults, in proportion to their workers.
+	meanSeriesGap = 700 * time.Millisecond
+	// minSeriesGap keeps most of a large site running. With 27 series a second at 162
+	// processes, held links and their replacements used 20,000 file descriptors.
+	minSeriesGap = 200 * time.Millisecond
 )
 
-// Plan makes the schedule of a seed: storms, calm spans with one change each, and
-// at the end a calm span after which all must be served again.
-// The error is of type ErrOptions.
+// Plan returns the schedule of a seed: periods of faults that alternate with calm
+// spans in which single changes are made, and a final calm span by whose end jobs
+// must be served again. The error is of type ErrOptions.
 func Plan(seed uint64, duration time.Duration, size Size) (Schedule, error) {
-	if least := warmUp + stormLength/2 + calmLength; duration < least {
-		return Schedule{}, ErrOptions.New("duration %v; the least is %v", duration, least)
+	if least := warmUp + faultPeriodLength/2 + calmSpanLength; duration < least {
+		return Schedule{}, ErrOptions.New("duration %v; the minimum is %v", duration, least)
 	}
 	p := planner{rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2)), rand.New(rand.NewPCG(seed, 3)), size, Schedule{Seed: seed, Duration: duration, Size: size.Name}}
 	at := warmUp
-	for at+stormLength/2+calmLength <= duration {
-		storm := stormLength/2 + p.upTo(stormLength/2)
-		if at+storm+stormLength/2+2*calmLength > duration {
-			// No room for another storm: this one goes on until the last calm span.
-			storm = duration - calmLength - at
+	for at+faultPeriodLength/2+calmSpanLength <= duration {
+		length := faultPeriodLength/2 + p.randomDuration(faultPeriodLength/2)
+		if at+length+faultPeriodLength/2+2*calmSpanLength > duration {
+			// No time for another fault period: extend this one to the last calm span.
+			length = duration - calmSpanLength - at
 		}
-		p.storm(at, at+storm)
-		at += storm
-		p.calm(at)
-		at += calmLength
+		p.faultPeriod(at, at+length)
+		at += length
+		p.calmSpan(at)
+		at += calmSpanLength
 	}
-	slices.SortStableFunc(p.s.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
-	return p.s, nil
+	slices.SortStableFunc(p.schedule.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+	return p.schedule, nil
 }
 
 type planner struct {
 	rand *rand.Rand
-	// evacuations are drawn apart, so that a seed's other actions don't hang on them.
+	// evacuations has its own source, so that a seed's other actions don't depend
+	// on it.
 	evacuations *rand.Rand
-	// resizes likewise.
-	resizes *rand.Rand
-	size    Size
-	s       Schedule
+	// resizes has its own source for the same reason.
+	resizes  *rand.Rand
+	size     Size
+	schedule Schedule
 }
 
-func (p *planner) upTo(d time.Duration) time.Duration {
+func (p *planner) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(p.rand.Int64N(int64(d)))
 }
 
-func (p *planner) add(a Action) { p.s.Actions = append(p.s.Actions, a) }
+func (p *planner) add(a Action) { p.schedule.Actions = append(p.schedule.Actions, a) }
 
-// storm fills a span with series of faults, which overlap. Each ends within it.
-func (p *planner) storm(from, to time.Duration) {
-	gap := max(minGap, meanGap*time.Duration(sizes[1].Workers)/time.Duration(max(p.size.Workers, sizes[1].Workers)))
+// faultPeriod fills a span with overlapping series of faults, all of which end
+// within it.
+func (p *planner) faultPeriod(from, to time.Duration) {
+	gap := max(minSeriesGap, meanSeriesGap*time.Duration(sizes[1].Workers)/time.Duration(max(p.size.Workers, sizes[1].Workers)))
 	for at := from; ; {
 		at += time.Duration(p.rand.ExpFloat64() * float64(gap))
 		if at >= to {
 			break
 		}
-		p.series(at, to)
+		p.faultSeries(at, to)
 	}
 	if p.rand.IntN(4) == 0 {
 		p.add(Action{At: to - time.Millisecond, Kind: KillAll})
@@ -211,8 +214,8 @@
 	p.add(Action{At: at, For: time.Second, Kind: ResizeWorker, Worker: p.resizes.IntN(p.size.Workers), Calm: calm})
 }
 
-// series is one fault, or the same some times over on the same target or others.
-func (p *planner) series(at, to time.Duration) {
+// faultSeries adds one fault, possibly repeated on the same target or on others.
+func (p *planner) faultSeries(at, to time.Duration) {
 	a := p.fault()
 	again := 1
 	if p.rand.IntN(4) == 0 {
@@ -220,52 +223,52 @@
 	}
 	same := p.rand.IntN(2) == 0
 	for range again {
-		a.At, a.For = at, min(50*time.Millisecond+p.upTo(faultLength), max(to-at, time.Millisecond))
+		a.At, a.For = at, min(50*time.Millisecond+p.randomDuration(maxFaultLength), max(to-at, time.Millisecond))
 		p.add(a)
-		at += a.For/2 + p.upTo(time.Second)
+		at += a.For/2 + p.randomDuration(time.Second)
 		if at >= to {
 			return
 		}
 		if !same {
-			p.aim(&a)
+			p.chooseTarget(&a)
 		}
 	}
 }
 
-// weighted is how often each kind comes.
-var weighted = []struct {
+// kindWeights is the relative frequency of each kind.
+var kindWeights = []struct {
 	kind   Kind
 	weight int
 }{
 	{StopProcess, 3}, {KillProcess, 4}, {PauseProcess, 4},
 	{CrashWorker, 3}, {DrainWorker, 2}, {FailRuns, 2}, {StallRuns, 2}, {LoseCalls, 4},
-	{StoreFails, 3}, {ForgetChange, 1},
+	{StoreFails, 3}, {ForgetChanges, 1},
 	{HoldLink, 7}, {ResetLink, 3}, {SlowLink, 2},
-	{NewVersion, 2}, {OldVersion, 1}, {NoVersion, 1}, {SameTimeWrite, 1},
+	{NewVersion, 2}, {OldVersion, 1}, {UnreadableVersion, 1}, {RacingVersions, 1},
 }
 
 func (p *planner) fault() Action {
 	total := 0
-	for _, w := range weighted {
+	for _, w := range kindWeights {
 		total += w.weight
 	}
 	n := p.rand.IntN(total)
 	var a Action
-	for _, w := range weighted {
+	for _, w := range kindWeights {
 		if n -= w.weight; n < 0 {
 			a.Kind = w.kind
 			break
 		}
 	}
-	p.aim(&a)
+	p.chooseTarget(&a)
 	return a
 }
 
-// paths that links can fail on.
+// paths lists the paths on which links can fail.
 var paths = []Path{CallersToEntry, NodesToEntry, ProcessToStore, AgentToWorker, WorkerToAgent}
 
-// aim chooses what an action hits.
-func (p *planner) aim(a *Action) {
+// chooseTarget chooses the target of an action.
+func (p *planner) chooseTarget(a *Action) {
 	a.Process = p.process()
 	a.Worker = p.rand.IntN(p.size.Workers)
 	switch a.Kind {
@@ -280,7 +283,8 @@
 	}
 }
 
-// process chooses an entry as often as an agent: there are far fewer of them.
+// process chooses entries and agents with equal probability, although there are
+// far fewer entries.
 func (p *planner) process() int {
 	if p.rand.IntN(2) == 0 {
 		return p.rand.IntN(p.size.Entries)
@@ -288,27 +292,27 @@
 	return p.size.Entries + p.rand.IntN(p.size.Workers)
 }
 
-// calm is a span in which, once the faults are got over, one planned thing is done.
-func (p *planner) calm(from time.Duration) {
-	p.s.Calms = append(p.s.Calms, Span{from, from + calmLength})
+// calmSpan adds a span in which planned changes are made after the time for recovery.
+func (p *planner) calmSpan(from time.Duration) {
+	p.schedule.Calms = append(p.schedule.Calms, Span{from, from + calmSpanLength})
 	kinds := []Kind{NewVersion, DrainWorker, StopProcess}
-	a := Action{At: from + recovery, For: time.Second, Kind: kinds[p.rand.IntN(len(kinds))], Calm: true}
-	p.aim(&a)
+	a := Action{At: from + recoveryTime, For: time.Second, Kind: kinds[p.rand.IntN(len(kinds))], Calm: true}
+	p.chooseTarget(&a)
 	p.add(a)
 	if p.evacuations.IntN(2) == 0 {
-		p.evacuate(from+recovery, evacuation, true)
+		p.evacuate(from+recoveryTime, evacuationLength, true)
 	}
 	if p.resizes.IntN(2) == 0 {
-		p.resize(from+recovery, true)
+		p.resize(from+recoveryTime, true)
 	}
 }
 
-// calmAt reports whether nothing has been wrong for a while.
+// calmAt reports whether at is in a calm span, after its time for recovery.
 func (s *Schedule) calmAt(at time.Duration) bool {
-	return slices.ContainsFunc(s.Calms, func(c Span) bool { return at >= c.From+recovery && at < c.To })
+	return slices.ContainsFunc(s.Calms, func(c Span) bool { return at >= c.From+recoveryTime && at < c.To })
 }
 
-// ReadSchedule reads what Run kept.
+// ReadSchedule reads a schedule that Run has saved.
 func ReadSchedule(file string) (Schedule, error) {
 	var s Schedule
 	text, err := os.ReadFile(file)
--- a/cmd/internal/soak/schedule_test.go
+++ b/cmd/internal/soak/schedule_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A finding is of use only if its schedule comes again.
-func TestPlanIsAFunctionOfTheSeed(t *testing.T) {
+// A finding can only be reproduced if its seed yields the same schedule again.
+func TestPlanIsDeterministic(t *testing.T) {
 	size, _ := SizeByName("usual")
 	one, err := Plan(7, time.Minute, size)
 	if err != nil {
@@ -20,13 +20,13 @@
 	}
 	other, _ := Plan(8, time.Minute, size)
 	if cmp.Equal(one.Actions, other.Actions) {
-		t.Error("two seeds make the same schedule")
+		t.Error("two seeds yield the same schedule")
 	}
 }
 
-// Promises with a time bound are held against calm spans: no fault may reach into
+// Promises with a time bound are checked in calm spans: no fault may extend into
 // one, and the last span must reach the end.
-func TestFaultsEndBeforeACalm(t *testing.T) {
+func TestFaultsEndBeforeCalmSpans(t *testing.T) {
 	for _, size := range sizes {
 		for seed := range uint64(200) {
 			s, err := Plan(seed, 70*time.Second, size)
@@ -47,8 +47,8 @@
 	}
 }
 
-func TestPlanWantsRoomForACalm(t *testing.T) {
+func TestPlanRejectsShortDuration(t *testing.T) {
 	if _, err := Plan(1, 5*time.Second, sizes[0]); err == nil {
-		t.Error("five seconds are no soak")
+		t.Error("Plan accepted a duration of five seconds")
 	}
 }
--- a/cmd/internal/soak/text.go
+++ b/cmd/internal/soak/text.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// WriteText prints the report for people.
+// WriteText writes the report in human-readable form.
 func (r *Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, size %s, %s: %d runs, %d processes started\n", r.Seed, r.Size, r.Duration, r.Starts, r.Processes)
--- a/cmd/internal/soak/workers.go
+++ b/cmd/internal/soak/workers.go
@@ -12,29 +12,30 @@
 	"github.com/papayahoist/papayahoist/platform/adapter/standin"
 )
 
-// workerCPU and workerMemory are the capacity of each worker.
+// Parameters of the stand-in workers; workerCPU and workerMemory are the capacity
+// of each.
 const (
 	workerCPU    = 4000
 	workerMemory = 4000
-	// reportEvery is short, so that restarted agents know their worker soon.
+	// reportEvery is short, so that restarted agents learn of their worker soon.
 	reportEvery = 300 * time.Millisecond
-	// callsLostPart is the part of the calls that a lossy worker loses, before or
-	// after it has carried them out.
-	callsLostPart = 4
+	// lostCallsDivisor is n where a lossy worker loses one in n calls, before or
+	// after it has executed them.
+	lostCallsDivisor = 4
 )
 
-// specification is what a caller sends for each task, and what the worker goes by.
+// specification is what a caller sends for each task, and what the worker executes.
 type specification struct {
 	Job    string `json:"job"`
 	CPU    int64  `json:"cpu"`
 	Millis int    `json:"ms"`
-	// Fails: each run of it does.
+	// Fails: every run fails.
 	Fails bool `json:"fails,omitempty"`
-	// Crashes: it crashes each worker that starts it.
+	// Crashes: every worker that starts it crashes.
 	Crashes bool `json:"crashes,omitempty"`
 }
 
-func (s specification) text() string {
+func (s specification) encode() string {
 	b, _ := json.Marshal(s)
 	return string(b)
 }
@@ -45,22 +46,23 @@
 	return s
 }
 
-// host is a worker's machine: one life of a worker after another at one address.
+// host is a worker's machine: one incarnation of a worker after another at one
+// address.
 type host struct {
-	c      *cluster
-	index  int
-	rate   float64
-	agent  string // where it reports
-	lossy  atomic.Int32
-	fails  atomic.Int32
-	stalls atomic.Int32
-	calls  atomic.Uint64
+	c            *cluster
+	index        int
+	clockRate    float64
+	agentAddress string // address to which it reports
+	lossy        atomic.Int32
+	fails        atomic.Int32
+	stalls       atomic.Int32
+	calls        atomic.Uint64
 
 	current atomic.Pointer[standin.Worker]
 
-	mu    sync.Mutex
-	life  *life
-	lives int
+	mu          sync.Mutex
+	incarnation *workerIncarnation
+	starts      int
 }
 
 // ServeHTTP implements http.Handler.
@@ -72,69 +74,69 @@
 	worker.ServeHTTP(w, r)
 }
 
-// start begins a life, if none goes on.
+// start starts a new incarnation if none is running.
 func (h *host) start() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.life != nil {
+	if h.incarnation != nil {
 		return
 	}
-	h.lives++
-	l := &life{name: fmt.Sprintf("w%d.%d", h.index, h.lives), domain: domainName(h.index), capacity: workerCPU, running: map[string]taskRun{}}
-	ledger, since := h.c.ledger, h.c.since
+	h.starts++
+	l := &workerIncarnation{name: fmt.Sprintf("w%d.%d", h.index, h.starts), domain: domainName(h.index), capacity: workerCPU, running: map[string]taskRun{}}
+	checker, since := h.c.checker, h.c.since
 	id, born := l.name, int64(0)
 	if h.index%2 == 1 {
-		// Every other worker keeps its identifier.
+		// Every other worker keeps its identifier across restarts.
 		id, born = fmt.Sprintf("w%d", h.index), time.Now().UnixMilli()
 	}
 	w := standin.NewWorker(standin.WorkerOptions{
-		ID: id, Born: born, Service: service, CPU: workerCPU, Memory: workerMemory, Agent: h.agent, Every: reportEvery, Rate: h.rate,
-		MaxLease: maxLease, Length: h.length, Fails: h.runFails, Lose: h.loses,
+		ID: id, Born: born, Service: service, CPU: workerCPU, Memory: workerMemory, Agent: h.agentAddress, Every: reportEvery, Rate: h.clockRate,
+		MaxLease: maxLease, Length: h.runLength, Fails: h.runFails, Lose: h.losesCall,
 		Crashes: func(text string) bool { return parseSpecification(text).Crashes }, Crash: h.crashByTask,
 		Began: func(task string, run uint32, text string) {
-			ledger.Began(since(), l, task, run, parseSpecification(text))
+			checker.RunStarted(since(), l, task, run, parseSpecification(text))
 		},
-		Ended: func(task string, _ uint32, how string) { ledger.Ended(l, task, how) },
+		Ended: func(task string, _ uint32, how string) { checker.RunEnded(l, task, how) },
 		Acknowledged: func(draining bool) {
 			if draining {
-				ledger.Draining(since(), l)
+				checker.WorkerDraining(since(), l)
 			}
 		},
 	})
-	l.lapsed = w.Lapsed
-	h.life = l
+	l.leaseLapsed = w.Lapsed
+	h.incarnation = l
 	h.current.Store(w)
 	go w.Report()
 }
 
-// crash ends the life that goes on.
+// crash ends the current incarnation. It returns false if none is running.
 func (h *host) crash() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.life == nil {
+	if h.incarnation == nil {
 		return false
 	}
-	l := h.life
-	h.current.Swap(nil).Close(func() { h.c.ledger.LifeOver(l) })
-	h.life = nil
+	l := h.incarnation
+	h.current.Swap(nil).Close(func() { h.c.checker.WorkerGone(l) })
+	h.incarnation = nil
 	return true
 }
 
-// crashByTask ends the life that goes on, and begins another one after a while.
+// crashByTask ends the current incarnation, and starts another one after a while.
 func (h *host) crashByTask() {
 	if h.crash() {
-		time.AfterFunc(rebirth, h.start)
+		time.AfterFunc(crashRestartDelay, h.start)
 	}
 }
 
-// rebirth is how long a worker is away that a task has crashed.
-const rebirth = 700 * time.Millisecond
+// crashRestartDelay is how long a worker stays down after a task has crashed it.
+const crashRestartDelay = 700 * time.Millisecond
 
-// resize halves the capacity for a while. In calm time nothing may start beyond it once it has
-// been told.
+// resize halves the capacity for a while. In calm time, no run may start beyond
+// the new capacity once the worker has reported it.
 func (h *host) resize(lasts time.Duration, calm bool) bool {
 	h.mu.Lock()
-	w, l := h.current.Load(), h.life
+	w, l := h.current.Load(), h.incarnation
 	h.mu.Unlock()
 	if w == nil {
 		return false
@@ -142,18 +144,20 @@
 	w.SetCPU(workerCPU / 2)
 	time.Sleep(capacityBound)
 	if calm {
-		h.c.ledger.Resized(l, workerCPU/2)
+		h.c.checker.WorkerResized(l, workerCPU/2)
 	}
 	time.Sleep(lasts)
-	h.c.ledger.Resized(l, workerCPU)
+	h.c.checker.WorkerResized(l, workerCPU)
 	w.SetCPU(workerCPU)
 	return true
 }
 
-// capacityBound is when a capacity that has shrunk counts: three reports.
+// capacityBound is the time after which a reduced capacity must be respected:
+// three reports.
 const capacityBound = 3 * reportEvery
 
-// drain has the worker say that it leaves.
+// drain makes the worker report that it drains. It returns false if none is
+// running.
 func (h *host) drain() bool {
 	w := h.current.Load()
 	if w == nil {
@@ -163,12 +167,12 @@
 	return true
 }
 
-// stalled is how long a run takes that doesn't end.
-const stalled = time.Hour
+// stalledRunLength is the duration of a run that doesn't end.
+const stalledRunLength = time.Hour
 
-func (h *host) length(text string) time.Duration {
+func (h *host) runLength(text string) time.Duration {
 	if h.stalls.Load() > 0 {
-		return stalled
+		return stalledRunLength
 	}
 	return time.Duration(parseSpecification(text).Millis) * time.Millisecond
 }
@@ -177,15 +181,15 @@
 	return h.fails.Load() > 0 || parseSpecification(text).Fails
 }
 
-// loses spreads the losses over the calls without keeping their order.
-func (h *host) loses(string) (before, after bool) {
+// losesCall decides pseudo-randomly which calls are lost.
+func (h *host) losesCall(string) (before, after bool) {
 	n := h.calls.Add(1)
 	if h.lossy.Load() == 0 {
 		return false, false
 	}
 	sum := fnv.New32a()
 	fmt.Fprint(sum, h.index, n)
-	switch sum.Sum32() % (2 * callsLostPart) {
+	switch sum.Sum32() % (2 * lostCallsDivisor) {
 	case 0:
 		return true, false
 	case 1:
