--- a/cmd/internal/bench/doc.go
+++ b/cmd/internal/bench/doc.go
@@ -1,8 +1,8 @@
-// Package bench measures the system on live processes' code over loopback: it
-// draws a load from a profile, drives it through the public client, and checks
-// the promises against what the endpoints saw.
+// Package bench measures the code of the live processes over loopback: it
+// generates a load from a profile, submits it through the public client, and
+// checks the guarantees against what the endpoints recorded.
 //
-// A run is fixed by its profile, load, duration and seed: the same arrivals
-// come at the same offsets whatever policy or fault is measured. Figures of time
-// are the machine's.
+// A run is determined by its profile, load, duration and seed: the same jobs
+// arrive at the same offsets whichever policy or fault is measured. Durations
+// depend on the machine.
 package bench
--- a/cmd/internal/bench/faults.go
+++ b/cmd/internal/bench/faults.go
@@ -11,30 +11,31 @@
 	standin "github.com/papayahoist/papayahoist/platform/standin/endpoint"
 )
 
-// Fault is something that goes wrong for a while during a run.
+// Fault is a fault that is injected for a limited time during a run.
 type Fault string
 
-// Faults.
+// Faults that a run can inject.
 const (
-	FaultKillAgent    Fault = "kill-agent"
-	FaultKillEntry    Fault = "kill-entry"
-	FaultStopAgent    Fault = "stop-agent"
-	FaultStopEntry    Fault = "stop-entry"
-	FaultSilentLinks  Fault = "silent-links"
-	FaultSilentCaller Fault = "silent-callers"
-	FaultCutDomain    Fault = "cut-domain"
-	FaultBadWorker    Fault = "bad-worker"
-	FaultSlowWorker   Fault = "slow-worker"
-	FaultRefuse       Fault = "refusing-worker"
+	FaultKillAgent       Fault = "kill-agent"
+	FaultKillEntry       Fault = "kill-entry"
+	FaultStopAgent       Fault = "stop-agent"
+	FaultStopEntry       Fault = "stop-entry"
+	FaultSilentLinks     Fault = "silent-links"
+	FaultSilentCallers   Fault = "silent-callers"
+	FaultPartitionDomain Fault = "cut-domain"
+	FaultBadWorker       Fault = "bad-worker"
+	FaultSlowWorker      Fault = "slow-worker"
+	FaultRefusingWorker  Fault = "refusing-worker"
 )
 
-// AllFaults lists the faults in the order in which they come.
+// AllFaults lists the faults in the order in which they are injected.
 var AllFaults = []Fault{
 	FaultKillAgent, FaultSilentLinks, FaultBadWorker, FaultKillEntry, FaultStopAgent,
-	FaultCutDomain, FaultSilentCaller, FaultSlowWorker, FaultStopEntry, FaultRefuse,
+	FaultPartitionDomain, FaultSilentCallers, FaultSlowWorker, FaultStopEntry, FaultRefusingWorker,
 }
 
-// ParseFaults reads "none", "all" or a comma-separated list.
+// ParseFaults parses "none", "all" or a comma-separated list of faults. It
+// returns ErrConfig for an unknown fault.
 func ParseFaults(s string) ([]Fault, error) {
 	switch s {
 	case "", "none":
@@ -53,14 +54,14 @@
 	return out, nil
 }
 
-// faultLength is how long a fault lasts, and the pause after it.
+// Duration of a fault, and the pause before each.
 const (
-	faultLength = time.Second
-	faultPause  = 500 * time.Millisecond
+	faultDuration = time.Second
+	faultPause    = 500 * time.Millisecond
 )
 
-// startFaults lets the faults come one after another until stopped; the returned
-// function ends them and waits for what was broken to be whole again.
+// startFaults injects the faults one after another, in a loop. The returned
+// function stops the loop and waits until the current fault is cleared.
 func (r *run) startFaults(ctx context.Context) (stop func()) {
 	if len(r.config.Faults) == 0 {
 		return func() {}
@@ -70,14 +71,15 @@
 	wg.Go(func() {
 		for i := 0; sleep(ctx, faultPause) == nil; i++ {
 			heal := r.inject(r.config.Faults[i%len(r.config.Faults)], i)
-			_ = sleep(ctx, faultLength)
+			_ = sleep(ctx, faultDuration)
 			heal()
 		}
 	})
 	return func() { cancel(); wg.Wait() }
 }
 
-// inject causes a fault at the n-th place and returns what ends it.
+// inject injects a fault into the n-th agent and entry, modulo their number, and
+// returns the function that clears it.
 func (r *run) inject(f Fault, n int) (heal func()) {
 	agents, entries := r.site.Agents(), r.site.Entries()
 	a, e := agents[n%len(agents)], entries[n%len(entries)]
@@ -97,15 +99,15 @@
 	case FaultSilentLinks:
 		a.Relay().Silence()
 		e.NodesRelay().Silence()
-	case FaultSilentCaller:
+	case FaultSilentCallers:
 		e.CallersRelay().Silence()
-	case FaultCutDomain:
-		return cutDomain(agents, r.config.Profile.WorkersPerRack)
+	case FaultPartitionDomain:
+		return partitionDomain(agents, r.config.Profile.WorkersPerRack)
 	case FaultBadWorker:
 		return workerFault(a, standin.Faults{FailAll: true})
 	case FaultSlowWorker:
 		return workerFault(a, standin.Faults{Slowdown: 4})
-	case FaultRefuse:
+	case FaultRefusingWorker:
 		return workerFault(a, standin.Faults{RefuseAll: true})
 	}
 	return func() {}
@@ -117,7 +119,7 @@
 	}
 }
 
-func cutDomain(agents []*site.Agent, n int) (heal func()) {
+func partitionDomain(agents []*site.Agent, n int) (heal func()) {
 	n = min(n, len(agents))
 	for _, a := range agents[:n] {
 		a.Relay().Cut()
--- a/cmd/internal/bench/ideal.go
+++ b/cmd/internal/bench/ideal.go
@@ -10,9 +10,9 @@
 	slices.SortStableFunc(plan, func(a, b JobPlan) int { return cmp.Compare(a.At, b.At) })
 }
 
-// Ideal is the least response time that any dispatcher could give the job on an
-// empty site: its longest task, or its work spread over every slot if that is
-// more, and the round trips that can't be avoided.
+// Ideal returns the shortest response time that any dispatcher could achieve for
+// the job on an idle site: the run time of its longest task, or its total run time
+// divided by the number of slots if that is more, plus the unavoidable round trips.
 func (p Profile) Ideal(j JobPlan, roundTrips time.Duration) time.Duration {
 	var longest, total time.Duration
 	for _, t := range j.Tasks {
--- a/cmd/internal/bench/plot.go
+++ b/cmd/internal/bench/plot.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Measures of the plot, in pixels.
+// Dimensions of the plot, in pixels.
 const (
 	plotWidth, plotHeight = 760, 420
 	plotLeft, plotTop     = 70, 50
@@ -17,11 +17,12 @@
 
 var plotColours = []string{"#1b6ca8", "#c8553d", "#4a7c59", "#8e6c8a", "#b8860b"}
 
-// plotQuantiles are the places on the horizontal axis, by the share of jobs that
-// are slower: it shows the tail.
+// plotQuantiles are the percentiles on the horizontal axis, evenly spaced so that
+// the tail takes most of the width.
 var plotQuantiles = []float64{50, 75, 90, 95, 99, 99.5, 99.9}
 
-// WritePlot draws response over ideal by quantile, a line per report.
+// WritePlot writes an SVG plot of response time over ideal by percentile, one line
+// per report.
 func WritePlot(w io.Writer, reports ...*Report) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 %d %d" font-family="sans-serif" font-size="13">`, plotWidth, plotHeight)
@@ -48,7 +49,8 @@
 	return plotLeft + float64(i)*float64(plotWidth-plotLeft-plotRight)/float64(len(plotQuantiles)-1)
 }
 
-// plotY is logarithmic, from 1 at the bottom.
+// plotY maps a ratio to a vertical position, on a logarithmic scale with 1 at the
+// bottom.
 func plotY(v, top float64) float64 {
 	share := math.Log(max(v, 1)) / math.Log(top)
 	return plotHeight - plotBottom - share*float64(plotHeight-plotTop-plotBottom)
--- a/cmd/internal/bench/profile.go
+++ b/cmd/internal/bench/profile.go
@@ -12,7 +12,7 @@
 	"github.com/papayahoist/papayahoist/dispatch/preset"
 )
 
-// Profile is one user's site and the work that arrives there.
+// Profile describes one user's site and the load on it.
 type Profile struct {
 	Name           string
 	FailureDomains []string
@@ -22,33 +22,34 @@
 	MemoryBytes    uint64
 	Slots          uint32
 	Connections    uint32
-	// Delay is one way between processes, CallerDelay to callers.
+	// Delay is the one-way network delay between processes, CallerDelay that
+	// between callers and entries.
 	Delay, CallerDelay time.Duration
-	// Entries are thin instances behind the balancer.
+	// Entries is the number of entries behind the load balancer.
 	Entries int
-	// Preset is how the user weighs response time against messages.
+	// Preset is the user's trade-off between response time and message count.
 	Preset  preset.Preset
 	Streams []Stream
 }
 
-// Stream is the work of one contract and task kind.
+// Stream is the load of one contract and task kind.
 type Stream struct {
 	Contract *pb.Contract
 	Kind     string
-	// Share of the offered task time, over all streams of a profile 1.
+	// Share of the offered task time; the shares of a profile add up to 1.
 	Share float64
-	// MaxTasks bounds the tasks of a job; most jobs are far smaller.
+	// MaxTasks is the maximum number of tasks in a job; most jobs are far smaller.
 	MaxTasks int
 	// MemoryBytes is the median memory of a task.
 	MemoryBytes uint64
 	Timeout     time.Duration
 }
 
-// Shape of task times and job sizes: most tasks take 50 ms to 1 s, a few several
-// seconds; most jobs are small.
+// Distribution of task run times and job sizes: most tasks take 50 ms to 1 s and a
+// few take several seconds; most jobs are small.
 const (
 	shortestTask   = 50 * time.Millisecond
-	longestCommon  = time.Second
+	longestShort   = time.Second
 	longShare      = 0.02
 	shortestLong   = 2 * time.Second
 	longestLong    = 5 * time.Second
@@ -58,19 +59,21 @@
 	smallJob       = 4
 	middleJob      = 20
 	largeJob       = 60
-	// wrongShare of the tasks declare a size and time off by wrongFactor.
-	wrongShare  = 0.15
-	wrongFactor = 8
+	// A fraction misdeclaredShare of the tasks declares a memory size and run time
+	// that are wrong by a factor of misdeclaredFactor.
+	misdeclaredShare  = 0.15
+	misdeclaredFactor = 8
 )
 
-// Bursts multiply the arrivals for a short time.
+// Each burstInterval begins with a burst: the arrival rate is multiplied by
+// burstFactor for burstDuration.
 const (
-	burstEvery  = 7 * time.Second
-	burstLength = 500 * time.Millisecond
-	burstFactor = 2.5
+	burstInterval = 7 * time.Second
+	burstDuration = 500 * time.Millisecond
+	burstFactor   = 2.5
 )
 
-// noisyFactor is how much more than its share a noisy contract offers.
+// noisyFactor is the factor by which a noisy contract exceeds its share.
 const noisyFactor = 10
 
 const mebibyte = 1 << 20
@@ -82,7 +85,7 @@
 	}
 }
 
-// Cadwaladr is the specimen-desk service at Deeside.
+// Cadwaladr returns the profile of the specimen-desk service at Deeside.
 func Cadwaladr() Profile {
 	return Profile{
 		Name: "cadwaladr", FailureDomains: []string{"frame-hall", "chain-shed", "creep-room"},
@@ -96,7 +99,7 @@
 	}
 }
 
-// Hilvana is Trama, the shared platform in Santiago.
+// Hilvana returns the profile of Trama, the shared platform in Santiago.
 func Hilvana() Profile {
 	return Profile{
 		Name: "hilvana", FailureDomains: []string{"quilicura", "maipu", "la-florida"},
@@ -110,7 +113,7 @@
 	}
 }
 
-// ProfileByName returns a profile; false for an unknown name.
+// ProfileByName returns the profile with the given name, or false if there is none.
 func ProfileByName(name string) (Profile, bool) {
 	for _, p := range []Profile{Cadwaladr(), Hilvana()} {
 		if p.Name == name {
@@ -124,8 +127,8 @@
 	return slices.ContainsFunc(p.Streams, func(s Stream) bool { return s.Contract.Name == contract })
 }
 
-// limited returns the profile with one contract held to the share of the slots
-// that it offers when it is not noisy.
+// limited returns a copy of the profile in which the concurrency of one contract is
+// limited to the share of the slots that its load needs when it is not noisy.
 func (p Profile) limited(name string, load float64) Profile {
 	p.Streams = slices.Clone(p.Streams)
 	for i := range p.Streams {
@@ -138,10 +141,11 @@
 	return p
 }
 
-// Capacity is the task time that the site can serve per second.
+// Capacity returns the task time that the site can run per second, which is its
+// number of slots.
 func (p Profile) Capacity() float64 { return float64(p.Workers) * float64(p.Slots) }
 
-// TaskPlan is what one task will do, and what it declares.
+// TaskPlan holds the actual resource use of one task, and the declared one.
 type TaskPlan struct {
 	Run              time.Duration
 	MemoryBytes      uint64
@@ -151,16 +155,17 @@
 	DeclaredCPUMilli uint32
 }
 
-// JobPlan is one job to come.
+// JobPlan is one planned job; At is its offset from the start of the load.
 type JobPlan struct {
 	At     time.Duration
 	Stream int
 	Tasks  []TaskPlan
 }
 
-// Plan draws the arrivals of a run: load is the offered task time over the
-// site's capacity. The noisy contract, if any, offers noisyFactor times its
-// share; the others' arrivals are the same with and without it.
+// Plan generates the arrivals of a run, ordered by time. The load is the offered
+// task time over the site's capacity. The noisy contract, if any, offers
+// noisyFactor times its share; the arrivals of the other contracts don't depend on
+// it.
 func (p Profile) Plan(seed uint64, load float64, length time.Duration, noisy string) []JobPlan {
 	var plan []JobPlan
 	for i, s := range p.Streams {
@@ -169,11 +174,11 @@
 		if s.Contract.Name == noisy {
 			perSecond *= noisyFactor
 		}
-		// Bursts add to the mean; the base rate makes up for it.
-		base := perSecond / (1 + (burstFactor-1)*burstLength.Seconds()/burstEvery.Seconds())
+		// Bursts raise the mean rate, so the base rate is lowered to compensate.
+		base := perSecond / (1 + (burstFactor-1)*burstDuration.Seconds()/burstInterval.Seconds())
 		for at := time.Duration(0); ; {
 			rate := base
-			if at%burstEvery < burstLength {
+			if at%burstInterval < burstDuration {
 				rate *= burstFactor
 			}
 			at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -195,7 +200,8 @@
 	return tasks
 }
 
-// jobSize picks a size class by u and a size within it by v.
+// jobSize returns a number of tasks: u, from 0 to 1, selects the size class, and v
+// the size within it.
 func jobSize(u, v float64) int {
 	lo, hi := largeJob+1, 160
 	switch {
@@ -221,7 +227,7 @@
 }
 
 func (s Stream) task(rng *rand.Rand) TaskPlan {
-	run := logUniform(rng, shortestTask, longestCommon)
+	run := logUniform(rng, shortestTask, longestShort)
 	if rng.Float64() < longShare {
 		run = logUniform(rng, shortestLong, longestLong)
 	}
@@ -230,11 +236,11 @@
 		CPUMillis: 1000,
 	}
 	t.DeclaredRun, t.DeclaredMemory, t.DeclaredCPUMilli = t.Run, t.MemoryBytes, t.CPUMillis
-	if rng.Float64() < wrongShare {
+	if rng.Float64() < misdeclaredShare {
 		if rng.Float64() < 0.5 {
-			t.DeclaredRun, t.DeclaredMemory = t.Run*wrongFactor, t.MemoryBytes*wrongFactor
+			t.DeclaredRun, t.DeclaredMemory = t.Run*misdeclaredFactor, t.MemoryBytes*misdeclaredFactor
 		} else {
-			t.DeclaredRun, t.DeclaredMemory = t.Run/wrongFactor, t.MemoryBytes/wrongFactor
+			t.DeclaredRun, t.DeclaredMemory = t.Run/misdeclaredFactor, t.MemoryBytes/misdeclaredFactor
 		}
 	}
 	return t
@@ -244,10 +250,10 @@
 	return time.Duration(float64(lo) * math.Exp(rng.Float64()*math.Log(float64(hi)/float64(lo))))
 }
 
-// meanTaskSeconds is the mean of the task times that task draws.
+// meanTaskSeconds returns the mean of the run times that Stream.task generates.
 func meanTaskSeconds() float64 {
 	mean := func(lo, hi time.Duration) float64 {
 		return (hi - lo).Seconds() / math.Log(float64(hi)/float64(lo))
 	}
-	return (1-longShare)*mean(shortestTask, longestCommon) + longShare*mean(shortestLong, longestLong)
+	return (1-longShare)*mean(shortestTask, longestShort) + longShare*mean(shortestLong, longestLong)
 }
--- a/cmd/internal/bench/profile_test.go
+++ b/cmd/internal/bench/profile_test.go
@@ -11,7 +11,7 @@
 func offered(p Profile, plan []JobPlan, length time.Duration) []float64 {
 	shares := make([]float64, len(p.Streams))
 	for i := range plan {
-		shares[plan[i].Stream] += work(&plan[i]) / (p.Capacity() * length.Seconds())
+		shares[plan[i].Stream] += taskSeconds(&plan[i]) / (p.Capacity() * length.Seconds())
 	}
 	return shares
 }
@@ -28,20 +28,20 @@
 	}
 }
 
-func TestPlanIsFixedBySeed(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	p := Cadwaladr()
 	plan := p.Plan(7, 0.7, time.Minute, "")
 	if diff := cmp.Diff(plan, p.Plan(7, 0.7, time.Minute, "")); diff != "" {
-		t.Errorf("the same seed drew another plan: %s", diff)
+		t.Errorf("the same seed generated a different plan: %s", diff)
 	}
 	for i := 1; i < len(plan); i++ {
 		if plan[i].At < plan[i-1].At {
-			t.Fatalf("job %d comes at %s, after one at %s", i, plan[i].At, plan[i-1].At)
+			t.Fatalf("job %d arrives at %s, after one at %s", i, plan[i].At, plan[i-1].At)
 		}
 	}
 }
 
-func TestNoisyContractLeavesOthersArrivals(t *testing.T) {
+func TestNoisyContractKeepsOtherArrivals(t *testing.T) {
 	p := Cadwaladr()
 	const noisy = 1
 	only := func(plan []JobPlan) (out []JobPlan) {
--- a/cmd/internal/bench/report.go
+++ b/cmd/internal/bench/report.go
@@ -17,7 +17,7 @@
 	standin "github.com/papayahoist/papayahoist/platform/standin/endpoint"
 )
 
-// Report is what a run has shown. The terms are defined in docs/design/measures.md.
+// Report holds the results of a run. Its terms are defined in docs/design/measures.md.
 type Report struct {
 	Profile  string  `json:"profile"`
 	Policy   string  `json:"policy"`
@@ -31,8 +31,8 @@
 
 	ResponseOverIdealP50 float64 `json:"response_over_ideal_p50"`
 	ResponseOverIdealP99 float64 `json:"response_over_ideal_p99"`
-	// Goodput is the task time of complete jobs over what the site could have
-	// served from the first arrival to the last answer.
+	// Goodput is the task time of the completed jobs over the site's capacity from
+	// the first arrival to the last answer.
 	Goodput float64 `json:"goodput"`
 
 	MessagesPerTask           float64            `json:"messages_per_task"`
@@ -41,7 +41,8 @@
 	IdleBytesPerNodeSecond    float64            `json:"idle_bytes_per_node_second"`
 	MessagesByKind            map[string]float64 `json:"messages_per_task_by_kind"`
 
-	// WastedByReason are what the processes themselves saw to be in vain, per task.
+	// WastedByReason counts the messages that the processes themselves reported as
+	// wasted, per task.
 	WastedByReason map[string]float64 `json:"wasted_per_task_by_reason"`
 
 	DoubleStarts   int `json:"double_starts"`
@@ -56,11 +57,12 @@
 	FailedByCode  map[jobs.Code]int `json:"failed_by_code"`
 	Contracts     []ContractReport  `json:"contracts"`
 
-	ratios *hdrhistogram.Histogram
-	took   time.Duration
+	ratios  *hdrhistogram.Histogram
+	elapsed time.Duration
 }
 
-// ContractReport is one contract's part; shares are task time over capacity.
+// ContractReport holds the results of one contract. Offered, Contracted and Served
+// are task time over the site's capacity.
 type ContractReport struct {
 	Contract   string  `json:"contract"`
 	Offered    float64 `json:"offered"`
@@ -73,37 +75,37 @@
 	ratios *hdrhistogram.Histogram
 }
 
-// PromisesHeld reports whether nothing was seen that must never happen.
+// PromisesHeld reports whether no guarantee was violated.
 func (rep *Report) PromisesHeld() bool {
 	return rep.DoubleStarts == 0 && rep.PartialAnswers == 0 && rep.LostResults == 0 && rep.FalseNotRun == 0
 }
 
 const (
-	ratioScale = 1000 // histogram units per 1.0
-	maxRatio   = 10_000 * ratioScale
-	ratioSigni = 3
+	ratioScale  = 1000 // histogram units per 1.0
+	maxRatio    = 10_000 * ratioScale
+	ratioDigits = 3
 )
 
-func newRatios() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRatio, ratioSigni) }
+func newRatios() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRatio, ratioDigits) }
 
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / ratioScale
 }
 
-// seen is what all endpoints saw together.
-type seen struct {
+// endpointCounts counts the starts and ends of tasks at all endpoints.
+type endpointCounts struct {
 	starts map[standin.TaskKey]int
-	byJob  map[string]int // started tasks
+	byJob  map[string]int // started tasks by job
 	ended  map[string]int
 }
 
-func (r *run) seen() seen {
-	s := seen{
+func (r *run) countTasks() endpointCounts {
+	s := endpointCounts{
 		starts: make(map[standin.TaskKey]int), byJob: make(map[string]int),
 		ended: make(map[string]int),
 	}
 	for _, a := range r.site.Agents() {
-		// Endpoints know a job by contract and id.
+		// Endpoints identify a job by contract and ID.
 		for k, n := range a.Worker().Starts() {
 			_, k.Job = job.SplitName(k.Job)
 			s.starts[k] += n
@@ -121,7 +123,7 @@
 	c := r.config
 	rep := &Report{
 		Profile: c.Profile.Name, Policy: c.Policy, Load: c.Load, Seconds: c.Duration.Seconds(), Seed: c.Seed,
-		Faults: c.Faults, Jobs: len(r.outcomes), ratios: newRatios(), took: r.took,
+		Faults: c.Faults, Jobs: len(r.outcomes), ratios: newRatios(), elapsed: r.elapsed,
 		RefusedByCode: make(map[jobs.Code]int), FailedByCode: make(map[jobs.Code]int),
 	}
 	for _, s := range c.Profile.Streams {
@@ -130,14 +132,14 @@
 			Contracted: float64(s.Contract.Concurrency) / c.Profile.Capacity(), ratios: newRatios(),
 		})
 	}
-	saw := r.seen()
-	for _, n := range saw.starts {
+	counts := r.countTasks()
+	for _, n := range counts.starts {
 		if n > 1 {
 			rep.DoubleStarts += n - 1
 		}
 	}
 	for i := range r.outcomes {
-		rep.score(c, saw, &r.outcomes[i])
+		rep.score(c, counts, &r.outcomes[i])
 	}
 	for i := range rep.Contracts {
 		cr := &rep.Contracts[i]
@@ -148,29 +150,29 @@
 	return rep
 }
 
-// score adds one job.
-func (rep *Report) score(c Config, saw seen, o *outcome) {
+// score adds the outcome of one job to the report.
+func (rep *Report) score(c Config, counts endpointCounts, o *outcome) {
 	cr := &rep.Contracts[o.plan.Stream]
-	work := work(o.plan) / (c.Profile.Capacity() * c.Duration.Seconds())
+	work := taskSeconds(o.plan) / (c.Profile.Capacity() * c.Duration.Seconds())
 	cr.Offered += work
 	rep.Tasks += len(o.plan.Tasks)
 	switch {
 	case o.err == nil:
 		rep.Complete++
 		cr.Served += work
-		rep.Goodput += work * c.Duration.Seconds() / max(rep.took, c.Duration).Seconds()
-		if !o.whole {
+		rep.Goodput += work * c.Duration.Seconds() / max(rep.elapsed, c.Duration).Seconds()
+		if !o.complete {
 			rep.PartialAnswers++
 		}
 		ideal := c.Profile.Ideal(*o.plan, 2*c.Profile.CallerDelay+2*c.Profile.Delay)
-		ratio := int64(float64(o.took) / float64(ideal) * ratioScale)
+		ratio := int64(float64(o.elapsed) / float64(ideal) * ratioScale)
 		_ = rep.ratios.RecordValue(min(ratio, maxRatio))
 		_ = cr.ratios.RecordValue(min(ratio, maxRatio))
 	case errorx.IsOfType(o.err, client.NotRun):
 		rep.Refused++
 		cr.Refused++
 		rep.RefusedByCode[client.CodeOf(o.err)]++
-		if saw.byJob[o.id] > 0 {
+		if counts.byJob[o.id] > 0 {
 			rep.FalseNotRun++
 		}
 	case errorx.IsOfType(o.err, client.OutcomeUnknown):
@@ -178,16 +180,16 @@
 	case errorx.IsOfType(o.err, client.Failed):
 		rep.Failed++
 		rep.FailedByCode[client.CodeOf(o.err)]++
-		if saw.ended[o.id] == len(o.plan.Tasks) && client.CodeOf(o.err) != jobs.CodeDeadline {
+		if counts.ended[o.id] == len(o.plan.Tasks) && client.CodeOf(o.err) != jobs.CodeDeadline {
 			rep.LostResults++
 		}
 	default:
-		// No answer at all, or one of no known kind: the caller can't know.
+		// No answer, or an error of an unknown type: the caller can't tell the outcome.
 		rep.LostResults++
 	}
 }
 
-func work(j *JobPlan) float64 {
+func taskSeconds(j *JobPlan) float64 {
 	var total time.Duration
 	for _, t := range j.Tasks {
 		total += t.Run
@@ -195,10 +197,10 @@
 	return total.Seconds()
 }
 
-// countMessages sets the message figures of the loaded time. A message counts as
-// wasted when the same answers would have come without it: frames that carry
-// only acknowledgements, credits moved back, and what the processes themselves
-// saw to be in vain.
+// countMessages sets the message counts, both under load and idle. A message counts
+// as wasted if the answers would have been the same without it: frames that carry
+// only acknowledgements, returned credits, and messages that the processes
+// themselves reported as wasted.
 func (rep *Report) countMessages(r *run) {
 	tasks := float64(max(1, rep.Tasks))
 	rep.MessagesByKind = make(map[string]float64)
@@ -216,19 +218,19 @@
 			rep.WastedMessagesPerTask += n / tasks
 		}
 	}
-	nodeSeconds := float64(r.config.Profile.Workers+r.config.Profile.Entries) * idleTime.Seconds()
+	nodeSeconds := float64(r.config.Profile.Workers+r.config.Profile.Entries) * idleDuration.Seconds()
 	rep.IdleMessagesPerNodeSecond = (r.idleAfter.Total() - r.idleBefore.Total()) / nodeSeconds
 	rep.IdleBytesPerNodeSecond = (r.idleAfter.Bytes - r.idleBefore.Bytes) / nodeSeconds
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (rep *Report) WriteJSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(rep)
 }
 
-// WriteTable writes one or more reports side by side, for people.
+// WriteTable writes one or more reports side by side, as aligned text.
 func WriteTable(w io.Writer, reports ...*Report) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	row := func(name string, f func(*Report) any) {
--- a/cmd/internal/bench/run.go
+++ b/cmd/internal/bench/run.go
@@ -23,13 +23,13 @@
 // Errors of this package.
 var (
 	Errors = errorx.NewNamespace("bench")
-	// ErrConfig is given for a run that can't be made.
+	// ErrConfig is returned for a configuration that can't be run.
 	ErrConfig = Errors.NewType("config")
-	// ErrPromise is given when a run has seen what must never happen.
+	// ErrPromise is returned if a run has violated a guarantee.
 	ErrPromise = Errors.NewType("promise")
 )
 
-// Config fixes a run.
+// Config configures a run.
 type Config struct {
 	Profile  Profile
 	Load     float64
@@ -37,31 +37,32 @@
 	Seed     uint64
 	Policy   string
 	Faults   []Fault
-	// Noisy is a contract that offers noisyFactor times its share; empty: none.
+	// Noisy is the contract that offers noisyFactor times its share; empty means none.
 	Noisy string
-	// Progress is called about once a second; nil: never.
+	// Progress, if not nil, is called about once a second.
 	Progress func(done time.Duration)
 	Logger   *slog.Logger
 }
 
-// outcome is what became of one job, as its caller saw it.
+// outcome is the outcome of one job, as seen by its caller.
 type outcome struct {
-	plan  *JobPlan
-	id    string
-	took  time.Duration
-	err   error
-	whole bool // every result is there and belongs to its task
+	plan     *JobPlan
+	id       string
+	elapsed  time.Duration
+	err      error
+	complete bool // every result is present and belongs to its task
 }
 
 const (
 	clientCount = 12
-	// joinWait bounds the wait for agents before the load starts.
-	joinWait  = 10 * time.Second
-	idleTime  = 3 * time.Second
-	drainTime = 5 * time.Second
+	// joinTimeout is the timeout for all agents to link to all entries before the load
+	// starts.
+	joinTimeout  = 10 * time.Second
+	idleDuration = 3 * time.Second
+	drainTimeout = 5 * time.Second
 )
 
-// Run makes one run and scores it.
+// Run executes one run and returns its report.
 func Run(ctx context.Context, c Config) (*Report, error) {
 	if c.Noisy != "" && !c.Profile.has(c.Noisy) {
 		return nil, ErrConfig.New("noisy: profile %s has no contract %q", c.Profile.Name, c.Noisy)
@@ -81,7 +82,7 @@
 	if err := r.connect(ctx); err != nil {
 		return nil, err
 	}
-	r.idle(ctx)
+	r.measureIdle(ctx)
 	r.load(ctx)
 	return r.report(), nil
 }
@@ -95,7 +96,7 @@
 	o := site.Options{
 		Entries: p.Entries, Workers: p.Workers, WorkersPerRack: p.WorkersPerRack, FailureDomains: p.FailureDomains,
 		Slots: p.Slots, Cores: p.Cores, Connections: p.Connections, MemoryBytes: p.MemoryBytes,
-		Delay: p.Delay, CallerDelay: p.CallerDelay, Contracts: contracts, DrainTimeout: drainTime, Logger: c.Logger,
+		Delay: p.Delay, CallerDelay: p.CallerDelay, Contracts: contracts, DrainTimeout: drainTimeout, Logger: c.Logger,
 	}
 	if err := applyPolicy(c, &o); err != nil {
 		return nil, err
@@ -107,19 +108,20 @@
 	return s, nil
 }
 
-// Policies that a run may use.
+// Placement policies.
 const (
-	// PolicyCredits binds tasks to agents that have granted a free slot.
+	// PolicyCredits assigns tasks to agents that have granted a free slot.
 	PolicyCredits = "credits"
-	// PolicyDivided does the same, with each slot offered to one entry at a time.
+	// PolicyDivided is PolicyCredits with each slot offered to one entry at a time.
 	PolicyDivided = "divided"
-	// The others bind a task to an agent when it arrives.
+	// The other policies assign a task to an agent when it arrives.
 	PolicyRandom      = "random"
 	PolicyTwoChoices  = "two-choices"
 	PolicyLeastLoaded = "least-loaded"
 )
 
-// applyPolicy sets how entries choose agents, and how the site weighs messages.
+// applyPolicy sets the placement policy of the entries and the preset of the
+// profile. It returns ErrConfig for an unknown policy.
 func applyPolicy(c Config, o *site.Options) error {
 	var entries atomic.Uint64
 	source := func() *rand.Rand { return rand.New(rand.NewPCG(c.Seed, entries.Add(1))) }
@@ -149,15 +151,15 @@
 	clients []*client.Client
 
 	before, after         site.Messages // around the load
-	took                  time.Duration // from the first arrival to the last answer
+	elapsed               time.Duration // from the first arrival to the last answer
 	idleBefore, idleAfter site.Messages
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-// connect makes the clients, each with another entry first as a balancer would,
-// and waits until the site serves at every slot.
+// connect creates the clients, which prefer the entries in rotation as with a load
+// balancer, and waits until every agent is linked to every entry.
 func (r *run) connect(ctx context.Context) error {
 	urls := r.site.CallerURLs()
 	for i := range clientCount {
@@ -168,10 +170,10 @@
 		}
 		r.clients = append(r.clients, c)
 	}
-	limit := time.Now().Add(joinWait)
+	limit := time.Now().Add(joinTimeout)
 	for !r.site.Linked() {
 		if time.Now().After(limit) {
-			return ErrConfig.New("not every agent is linked to every entry after %s", joinWait)
+			return ErrConfig.New("not every agent is linked to every entry after %s", joinTimeout)
 		}
 		if err := sleep(ctx, 20*time.Millisecond); err != nil {
 			return ErrConfig.Wrap(err, "interrupted")
@@ -191,13 +193,13 @@
 	}
 }
 
-func (r *run) idle(ctx context.Context) {
+func (r *run) measureIdle(ctx context.Context) {
 	r.idleBefore = r.site.Messages()
-	_ = sleep(ctx, idleTime)
+	_ = sleep(ctx, idleDuration)
 	r.idleAfter = r.site.Messages()
 }
 
-// load submits every job at its time and waits for the last answer.
+// load submits each job at its planned time and waits for the last answer.
 func (r *run) load(ctx context.Context) {
 	r.before = r.site.Messages()
 	var wg sync.WaitGroup
@@ -213,7 +215,7 @@
 		r.progress(i, j.At)
 	}
 	wg.Wait()
-	r.took = time.Since(start)
+	r.elapsed = time.Since(start)
 	stopFaults()
 	r.after = r.site.Messages()
 }
@@ -235,10 +237,10 @@
 	}
 	start := time.Now()
 	answer, err := c.Submit(ctx, job)
-	o := outcome{plan: j, took: time.Since(start), err: err}
+	o := outcome{plan: j, elapsed: time.Since(start), err: err}
 	if err == nil {
 		o.id = answer.ID
-		o.whole = isWhole(answer, number, len(j.Tasks))
+		o.complete = isComplete(answer, number, len(j.Tasks))
 	} else {
 		o.id = client.JobOf(err)
 	}
@@ -247,7 +249,8 @@
 	r.outcomes = append(r.outcomes, o)
 }
 
-// echo is what a task's result must be: another job's or task's result differs.
+// echo returns the expected result of a task. It is unique, so that the result of
+// another job or task is detected.
 func echo(job, task int) string { return fmt.Sprintf("%d/%d", job, task) }
 
 func taskOf(t TaskPlan, echo string) jobs.Task {
@@ -255,7 +258,7 @@
 		RunMillis: uint32(t.Run / time.Millisecond), MemoryBytes: t.MemoryBytes, CPUMillis: t.CPUMillis, Echo: echo,
 	})
 	if err != nil {
-		panic(err) // the type has no value that can't be encoded
+		panic(err) // every value of the type can be encoded
 	}
 	return jobs.Task{
 		Payload: payload, MemoryBytes: t.DeclaredMemory, CPUMillis: t.DeclaredCPUMilli,
@@ -263,7 +266,7 @@
 	}
 }
 
-func isWhole(a *client.Answer, number, tasks int) bool {
+func isComplete(a *client.Answer, number, tasks int) bool {
 	if len(a.Results) != tasks {
 		return false
 	}
