--- a/cmd/internal/timeline/collect.go
+++ b/cmd/internal/timeline/collect.go
@@ -1,5 +1,5 @@
 // Package timeline collects the events of all processes into one time line and
-// prints it: as text, as JSON, or as one self-contained page.
+// writes it as text, as JSON, or as a self-contained HTML page.
 package timeline
 
 import (
@@ -25,30 +25,31 @@
 	// From and Until bound the events' wall time, Until excluded.
 	From  time.Time `json:"from,omitzero"`
 	Until time.Time `json:"until,omitzero"`
-	// Limit bounds the events that are printed; the newest are kept.
+	// Limit is the maximum number of events; the newest are kept.
 	Limit int `json:"limit,omitempty"`
-	// Around adds, to the events of one job, what happened meanwhile to the
-	// processes that it met: links, suspicions, drains, configuration.
+	// Around adds, to the events of one job, the concurrent events of the processes
+	// involved in it: links, suspicions, drains, configuration.
 	Around bool `json:"around,omitempty"`
 }
 
-// Source is one process whose events are in a time line.
+// Source is a process that supplied events to a time line.
 type Source struct {
 	Process       string `json:"process"`
 	Role          string `json:"role"`
 	Worker        string `json:"worker,omitempty"`
 	FailureDomain string `json:"failure_domain,omitempty"`
 	Incarnation   string `json:"incarnation,omitempty"`
-	// Events is how many the process sent.
+	// Events is the number of events that the process sent.
 	Events int `json:"events"`
-	// Overwritten is how many it has dropped since its start, all from before Since.
+	// Overwritten is the number of events that the process has discarded since its
+	// start, all older than Since.
 	Overwritten uint64    `json:"overwritten,omitempty"`
 	Since       time.Time `json:"since,omitzero"`
-	// Limited is set if it left out older matches.
+	// Limited is set if the process left out older matches because of the limit.
 	Limited bool `json:"limited,omitempty"`
 }
 
-// Missing is a process whose events could not be had.
+// Missing is a process whose events could not be retrieved.
 type Missing struct {
 	Process string `json:"process"`
 	Worker  string `json:"worker,omitempty"`
@@ -74,21 +75,22 @@
 	clock uint64
 }
 
-// Timeline is the events of all processes that answered, in the order of the
-// hybrid logical clock, and who did not answer.
+// Timeline holds the events of all processes that answered, in the order of the
+// hybrid logical clock, and the processes that did not answer.
 type Timeline struct {
 	Filter  Filter    `json:"filter"`
 	Sources []Source  `json:"sources"`
 	Missing []Missing `json:"missing"`
-	// Dropped is how many older events the filter's limit left out here.
+	// Dropped is the number of older events removed here to meet the filter's limit.
 	Dropped int     `json:"dropped,omitempty"`
 	Events  []Event `json:"events"`
 }
 
-// DefaultLimit of the events in one time line.
+// DefaultLimit is the default maximum number of events in a time line.
 const DefaultLimit = 10_000
 
-// Collect asks every process of the fleet for its events.
+// Collect requests the events that match the filter from every process of the
+// fleet. Processes that don't answer are listed in Missing.
 func Collect(ctx context.Context, f *fleet.Fleet, filter Filter) *Timeline {
 	if filter.Limit <= 0 {
 		filter.Limit = DefaultLimit
@@ -96,7 +98,7 @@
 	c := collection{ctx: ctx, fleet: f, timeline: &Timeline{Filter: filter, Missing: []Missing{}}}
 	for _, failure := range f.Failures {
 		if failure.Process.Address == "" || failure.Process.Name == "" {
-			c.miss(failure)
+			c.addMissing(failure)
 		}
 	}
 	request := &pb.TimelineRequest{
@@ -113,9 +115,9 @@
 	if !filter.Until.IsZero() {
 		request.UntilUnixMs = filter.Until.UnixMilli()
 	}
-	c.ask(request, c.addAll)
+	c.query(request, c.addAll)
 	if filter.Around && filter.Job != "" && len(c.timeline.Events) > 0 {
-		c.askAround()
+		c.queryAround()
 	}
 	c.finish(filter.Limit)
 	return c.timeline
@@ -128,13 +130,14 @@
 	mu       sync.Mutex
 }
 
-func (c *collection) miss(f fleet.Failure) {
+func (c *collection) addMissing(f fleet.Failure) {
 	c.timeline.Missing = append(c.timeline.Missing,
 		Missing{Process: f.Process.Title(), Worker: f.Process.Worker, Address: f.Process.Address, Reason: f.Reason()})
 }
 
-// ask sends request to all processes and calls add, one call at a time.
-func (c *collection) ask(request *pb.TimelineRequest, add func(fleet.Process, *pb.TimelineResponse, error)) {
+// query sends the request to all processes in parallel and calls add with each
+// result. Calls of add don't overlap.
+func (c *collection) query(request *pb.TimelineRequest, add func(fleet.Process, *pb.TimelineResponse, error)) {
 	c.fleet.Each(c.ctx, func(ctx context.Context, p fleet.Process, client fleet.Client) {
 		response, err := client.Timeline(ctx, connect.NewRequest(request))
 		c.mu.Lock()
@@ -149,7 +152,7 @@
 
 func (c *collection) addAll(p fleet.Process, r *pb.TimelineResponse, err error) {
 	if err != nil {
-		c.miss(fleet.Failure{Process: p, Err: err})
+		c.addMissing(fleet.Failure{Process: p, Err: err})
 		return
 	}
 	source := Source{
@@ -171,11 +174,13 @@
 	}
 }
 
-// aroundMargin is how long before and after a job its surroundings matter.
-const aroundMargin = time.Second
+// aroundWindow extends the time range of Filter.Around before the first and after
+// the last event of the job.
+const aroundWindow = time.Second
 
-// askAround adds the events without a job of the processes that the job met.
-func (c *collection) askAround() {
+// queryAround adds the events without a job of the processes that were involved in
+// the job.
+func (c *collection) queryAround() {
 	involved := map[string]bool{}
 	first, last := c.timeline.Events[0].Time, c.timeline.Events[0].Time
 	for _, e := range c.timeline.Events {
@@ -191,24 +196,25 @@
 		}
 	}
 	request := &pb.TimelineRequest{
-		FromUnixMs:  first.Add(-aroundMargin).UnixMilli(),
-		UntilUnixMs: last.Add(aroundMargin).UnixMilli(),
+		FromUnixMs:  first.Add(-aroundWindow).UnixMilli(),
+		UntilUnixMs: last.Add(aroundWindow).UnixMilli(),
 	}
-	c.ask(request, func(_ fleet.Process, r *pb.TimelineResponse, err error) {
+	c.query(request, func(_ fleet.Process, r *pb.TimelineResponse, err error) {
 		if err != nil {
-			return // named as missing by the first round, or gone since
+			return // listed in Missing by the first query, or terminated since
 		}
 		for _, e := range r.Events {
-			if surrounds(e, involved) {
+			if isRelated(e, involved) {
 				c.timeline.Events = append(c.timeline.Events, decode(e))
 			}
 		}
 	})
 }
 
-// surrounds reports whether an event without a job tells something about the
-// processes involved. Credits move all the time and would hide the rest.
-func surrounds(e *pb.Event, involved map[string]bool) bool {
+// isRelated reports whether an event has no job and is about the involved
+// processes. Credit events are excluded: they are so frequent that they would hide
+// the others.
+func isRelated(e *pb.Event, involved map[string]bool) bool {
 	kind, _ := event.ParseKind(e.Kind)
 	if e.Job != "" || (kind >= event.CreditsGranted && kind <= event.CreditsReturned) {
 		return false
@@ -235,8 +241,8 @@
 	return decoded
 }
 
-// finish sorts what came in from many goroutines, so that the same answers
-// always give the same time line.
+// finish sorts the results, which arrived in any order, and applies the limit, so
+// that the same responses always give the same time line.
 func (c *collection) finish(limit int) {
 	t := c.timeline
 	slices.SortStableFunc(t.Events, func(a, b Event) int {
--- a/cmd/internal/timeline/logs.go
+++ b/cmd/internal/timeline/logs.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// maxLineBytes bounds a log line that is read.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// logLine is what a time line takes from a process's log line.
+// logLine holds the fields of a log line that the time line uses.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -31,9 +31,10 @@
 	Elapsed float64   `json:"elapsed_ms"`
 }
 
-// ReadLogs makes a time line of the log lines of many processes, by their own wall
-// clocks. Anything before a line's first brace is passed over, as collectors put
-// their own fields there; what is no such line is counted as missing.
+// ReadLogs builds a time line from the logs of the given processes, by name, ordered
+// by their wall clocks. Text before a line's first brace is skipped, since log
+// collectors prepend their own fields. Lines that can't be parsed are counted in
+// Missing.
 func ReadLogs(readers map[string]io.Reader, filter Filter) (*Timeline, error) {
 	t := &Timeline{Filter: filter}
 	for name, r := range readers {
@@ -62,7 +63,7 @@
 	return t, nil
 }
 
-// eachLine hands on the lines of one process's log. Errors name the process.
+// eachLine calls take for each line of one process's log. Errors name the process.
 func eachLine(name string, r io.Reader, take func(text string)) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
@@ -94,7 +95,7 @@
 	return f.within(l.Time)
 }
 
-// within reports whether a time lies in the filter's.
+// within reports whether t is in the filter's time range.
 func (f Filter) within(t time.Time) bool {
 	return !t.Before(f.From) && (f.Until.IsZero() || t.Before(f.Until))
 }
--- a/cmd/internal/timeline/logs_test.go
+++ b/cmd/internal/timeline/logs_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// An engineer has a failed request's id, and the logs of an entry and an agent as a
-// collector kept them. The lines of other requests, and one that was cut, must not
-// hide what became of this one.
-func TestStoryOfARequestFromLogs(t *testing.T) {
+// Given collected logs of an entry and an agent, the time line of one job must contain
+// all its events in order, despite prefixed lines, lines of other jobs, and a
+// truncated line.
+func TestReadLogsOfOneJob(t *testing.T) {
 	const entry = `  5.8 entry-1 {"time":"2026-05-23T14:56:11.900Z","msg":"job_answered","process":"entry-1","job":"a1179b44bd8bf09e","outcome":"unknown","reason":"an agent can't be reached","elapsed_ms":900.1}
 {"time":"2026-05-23T14:56:11.000Z","msg":"task_ordered","process":"entry-1","job":"a1179b44bd8bf09e","queue":"q","task":"a1179b44bd8bf09e.0.0.3","run":1,"agent":"agent-4","reason":"has room","age_ms":3}
 {"time":"2026-05-23T14:56:11.500Z","msg":"task_ordered","process":"entry-1","job":"ffff9b44bd8bf09e","task":"ffff9b44bd8bf09e.0.0.3","run":1}
--- a/cmd/internal/timeline/losses.go
+++ b/cmd/internal/timeline/losses.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// late stands for the reason of a job that was completed after its objective.
+// late is the reason of a job that was completed after its latency objective.
 const late = "late"
 
-// answerLine is what a summary of losses takes from the line of a job's answer.
+// answerLine holds the fields of a job_answered log line that the summary uses.
 type answerLine struct {
 	Time      time.Time `json:"time"`
 	Message   string    `json:"msg"`
@@ -25,7 +25,8 @@
 	Objective float64   `json:"objective_ms"`
 }
 
-// loss is why the job counts as lost; empty: it was completed in time.
+// loss returns the reason why the job counts as lost, or "" if it was completed
+// within its objective.
 func (l *answerLine) loss() string {
 	switch {
 	case l.Outcome != "completed":
@@ -36,8 +37,8 @@
 	return ""
 }
 
-// Loss counts the jobs of a queue that were lost for one reason in one second, by when
-// they came.
+// Loss counts the jobs of a queue that arrived within one second and were lost for one
+// reason.
 type Loss struct {
 	Second time.Time `json:"second"`
 	Queue  string    `json:"queue"`
@@ -45,8 +46,9 @@
 	Jobs   int       `json:"jobs"`
 }
 
-// Losses are the jobs that were not completed within their objective, of all that were
-// answered. A job whose entry ended before it answered has no line, and is not counted.
+// Losses summarizes the answered jobs that were not completed within their latency
+// objective. A job whose entry terminated before it answered has no log line and is
+// not counted.
 type Losses struct {
 	Answered int            `json:"answered"`
 	ByReason map[string]int `json:"by_reason"`
@@ -54,13 +56,13 @@
 	Rows     []Loss         `json:"rows"`
 }
 
-// ReadLosses sums up the answers in the logs of many processes that match the filter's
-// queue and times.
+// ReadLosses summarizes the answers in the logs of the given processes, by name, that
+// match the filter's contract and times.
 func ReadLosses(readers map[string]io.Reader, f Filter) (*Losses, error) {
 	out := &Losses{ByReason: make(map[string]int), ByQueue: make(map[string]int)}
 	rows := make(map[Loss]int)
 	for name, r := range readers {
-		if err := eachLine(name, r, func(text string) { out.take(text, f, rows) }); err != nil {
+		if err := eachLine(name, r, func(text string) { out.addLine(text, f, rows) }); err != nil {
 			return nil, err
 		}
 	}
@@ -74,7 +76,7 @@
 	return out, nil
 }
 
-func (l *Losses) take(line string, f Filter, rows map[Loss]int) {
+func (l *Losses) addLine(line string, f Filter, rows map[Loss]int) {
 	var a answerLine
 	i := strings.IndexByte(line, '{')
 	if i < 0 || json.Unmarshal([]byte(line[i:]), &a) != nil || a.Message != "job_answered" {
@@ -94,7 +96,7 @@
 	rows[Loss{Second: came.Truncate(time.Second), Queue: a.Queue, Reason: reason}]++
 }
 
-// WriteLosses writes a summary as text: by reason, by queue, and by second.
+// WriteLosses writes the summary as text: by reason, by queue, and by second.
 func WriteLosses(w io.Writer, l *Losses) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	lost := 0
@@ -116,7 +118,7 @@
 	return t.Flush()
 }
 
-// byCount lists the keys, the one that counts most first.
+// byCount returns the keys in descending order of their counts.
 func byCount(counts map[string]int) []string {
 	keys := make([]string, 0, len(counts))
 	for k := range counts {
--- a/cmd/internal/timeline/losses_test.go
+++ b/cmd/internal/timeline/losses_test.go
@@ -18,7 +18,7 @@
 cut off {"time":"2026-03-
 `
 
-func TestLossesAreCountedBySecondQueueAndReason(t *testing.T) {
+func TestReadLossesCountsBySecondQueueAndReason(t *testing.T) {
 	got, err := ReadLosses(map[string]io.Reader{"log": strings.NewReader(answers)}, Filter{})
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 		ByReason: map[string]int{"not run: no workers known": 2, "late": 1},
 		ByQueue:  map[string]int{"stamps": 2, "checks": 1},
 		Rows: []Loss{
-			{second(1), "stamps", "late", 1}, // it came then
+			{second(1), "stamps", "late", 1}, // it arrived in this second
 			{second(1), "stamps", "not run: no workers known", 1},
 			{second(2), "checks", "not run: no workers known", 1},
 		},
@@ -44,6 +44,6 @@
 	}
 	one, err := ReadLosses(map[string]io.Reader{"log": strings.NewReader(answers)}, Filter{Contract: "stamps", From: second(2)})
 	if err != nil || one.Answered != 0 {
-		t.Errorf("%+v, %v, want no stamp that came later", one, err)
+		t.Errorf("%+v, %v, want no stamps job that arrived later", one, err)
 	}
 }
--- a/cmd/internal/timeline/page.go
+++ b/cmd/internal/timeline/page.go
@@ -13,7 +13,7 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageSource))
 
-// Groups of kinds, each with its colour and its switch in the page.
+// Groups of event kinds. The page gives each a colour and a toggle.
 const (
 	groupJob       = "jobs"
 	groupTask      = "tasks"
@@ -24,8 +24,8 @@
 	groupOther     = "other"
 )
 
-// lane is one process's row. Missing processes have a row too, so that a gap
-// in the knowledge is not read as silence.
+// lane is the row of one process. Missing processes have a row too, so that missing
+// data isn't mistaken for the absence of events.
 type lane struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
@@ -33,9 +33,10 @@
 	Missing string `json:"missing,omitempty"`
 }
 
-// mark is an event as the page's script reads it.
+// mark is an event in the form that the page's script reads.
 type mark struct {
-	// Millis since the first event, with the logical order as a fraction.
+	// At is the time since the first event in milliseconds; the fraction gives the
+	// order within a millisecond.
 	At       float64 `json:"t"`
 	Lane     int     `json:"l"`
 	Kind     string  `json:"k"`
@@ -57,15 +58,15 @@
 	Filter Filter   `json:"filter"`
 }
 
-// WritePage writes the time line as one self-contained page: no other file, no
-// network.
+// WritePage writes the time line as one self-contained HTML page, which needs no
+// other file and no network.
 func WritePage(w io.Writer, t *Timeline) error {
 	return pageTemplate.Execute(w, pageOf(t))
 }
 
 func pageOf(t *Timeline) pageData {
 	p := pageData{Filter: t.Filter, Marks: make([]mark, 0, len(t.Events)), Lanes: []lane{}}
-	// The script takes lengths: none of the lists may be null.
+	// The script reads the lists' lengths, so none of them may be null.
 	p.Notes = append([]string{}, notes(t)...)
 	index := p.addLanes(t)
 	if len(t.Events) == 0 {
@@ -93,8 +94,8 @@
 	return p
 }
 
-// addLanes makes a lane for each process with events and each missing one, and
-// returns the lanes' positions by process.
+// addLanes adds a lane for each process with events and for each missing one, and
+// returns the index of each lane by process.
 func (p *pageData) addLanes(t *Timeline) map[string]int {
 	active := map[string]bool{}
 	for _, e := range t.Events {
@@ -123,7 +124,7 @@
 	return index
 }
 
-// spread places the events of one millisecond side by side, in their order.
+// spread distributes the events of one millisecond evenly over it, in their order.
 type spread struct{ position, count []int }
 
 func newSpread(events []Event) spread {
@@ -164,7 +165,7 @@
 	return groupLifecycle
 }
 
-// isFault reports whether events of kind k tell of something gone wrong.
+// isFault reports whether events of kind k indicate a fault.
 func isFault(k event.Kind) bool {
 	switch k {
 	case event.JobRefused, event.JobFenced, event.CreditsLost, event.TaskResent, event.TaskDuplicate,
--- a/cmd/internal/timeline/site_test.go
+++ b/cmd/internal/timeline/site_test.go
@@ -18,8 +18,8 @@
 	standin "github.com/papayahoist/papayahoist/platform/standin/endpoint"
 )
 
-// walkPatience bounds the waits for a state; nothing is measured by it.
-const walkPatience = 20 * time.Second
+// walkTimeout is the timeout for reaching a state.
+const walkTimeout = 20 * time.Second
 
 func startSite(t *testing.T) *site.Site {
 	t.Helper()
@@ -48,39 +48,41 @@
 	return Collect(t.Context(), found, f)
 }
 
-// await collects until an event matches.
+// await collects the time line until an event matches.
 func await(t *testing.T, s *site.Site, f Filter, what string, match func(Event) bool) *Timeline {
 	t.Helper()
-	for limit := time.Now().Add(walkPatience); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
+	for limit := time.Now().Add(walkTimeout); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
 		if line := collect(t, s, f); slices.ContainsFunc(line.Events, match) {
 			return line
 		}
 	}
-	t.Fatalf("%s did not come", what)
+	t.Fatalf("timed out waiting for %s", what)
 	return nil
 }
 
-func TestWalkOfAJobThatMetTwoFaults(t *testing.T) {
-	// A break report has two tasks on two workers. The connection to the first
-	// worker's agent goes silent, and later the second worker's agent is restarted
-	// while it runs its task. The caller hears "outcome unknown", and whoever must
-	// explain it to an inspector finds both faults, in their order, in the time line.
+func TestTimelineOfJobWithTwoFaults(t *testing.T) {
+	// A job has two tasks on two workers. The connection to the first worker's agent
+	// goes silent, and later the second worker's agent is restarted while it runs its
+	// task. The caller receives "outcome unknown", and the time line must show both
+	// faults in their order.
 	//
-	// The connection must go silent while the first task runs. A busy machine may be
-	// too late for that; then nothing is learned, and it is made anew.
-	for range walkTries {
-		if walk(t) {
+	// The connection must go silent while the first task runs. Under load this can
+	// happen too late; the attempt proves nothing then, and is repeated.
+	for range maxAttempts {
+		if tryTwoFaults(t) {
 			return
 		}
 	}
-	t.Fatalf("the connection went silent after the first task's result, %d times", walkTries)
+	t.Fatalf("the connection went silent after the first task's result, %d times", maxAttempts)
 }
 
-// walkTries is how often the two faults are made, until the first one meets its task.
-const walkTries = 20
+// maxAttempts is the maximum number of attempts until the first fault occurs while its
+// task runs.
+const maxAttempts = 20
 
-// walk makes the two faults and checks the time line; false: the first one came late.
-func walk(t *testing.T) bool {
+// tryTwoFaults injects the two faults and checks the time line. It returns false if the
+// first fault came too late.
+func tryTwoFaults(t *testing.T) bool {
 	t.Helper()
 	s := startSite(t)
 	caller, err := client.New(client.Options{Addresses: s.CallerURLs()})
@@ -121,12 +123,12 @@
 		t.Fatal(err)
 	}
 	if err := <-answered; client.CodeOf(err) != jobs.CodeAgentLost {
-		t.Errorf("the caller heard %v, want the code %s", err, jobs.CodeAgentLost)
+		t.Errorf("the caller received %v, want the code %s", err, jobs.CodeAgentLost)
 	}
 	ours.Around = true
 	line := collect(t, s, ours)
-	checkWalk(t, line)
-	writeWalk(t, line)
+	checkTwoFaults(t, line)
+	writeFiles(t, line)
 	return true
 }
 
@@ -150,8 +152,8 @@
 	return nil
 }
 
-// checkWalk looks for the steps in their order, among others.
-func checkWalk(t *testing.T, line *Timeline) {
+// checkTwoFaults checks that the expected events occur in order, possibly among others.
+func checkTwoFaults(t *testing.T, line *Timeline) {
 	t.Helper()
 	want := []string{
 		"job-accepted", "task-dispatched", "task-started", "peer-suspected", "link-down", "link-up", "link-up",
@@ -171,7 +173,7 @@
 	}
 	answer := line.Events[slices.IndexFunc(line.Events, func(e Event) bool { return e.Kind == "job-answered" })]
 	if slices.Contains(got, "task-resent") {
-		t.Error("a start was sent again after its result had come")
+		t.Error("a start was resent after its result had arrived")
 	}
 	const says = "outcome unknown, agent_lost: the agent was restarted"
 	if answer.Detail != says {
@@ -179,7 +181,7 @@
 	}
 }
 
-func writeWalk(t *testing.T, line *Timeline) {
+func writeFiles(t *testing.T, line *Timeline) {
 	t.Helper()
 	if *pagesDir == "" {
 		return
--- a/cmd/internal/timeline/text.go
+++ b/cmd/internal/timeline/text.go
@@ -11,7 +11,7 @@
 	"github.com/papayahoist/papayahoist/dispatch/event"
 )
 
-// clockLayout shows wall time to the clock's resolution.
+// clockLayout formats wall time in milliseconds, the resolution of the clock.
 const clockLayout = "15:04:05.000"
 
 // WriteJSON writes the time line as one JSON object.
@@ -21,7 +21,7 @@
 	return encoder.Encode(t)
 }
 
-// WriteText writes the time line for a terminal, one event a line.
+// WriteText writes the time line as text, one event per line.
 func WriteText(w io.Writer, t *Timeline) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, note := range notes(t) {
@@ -37,7 +37,8 @@
 	return table.Flush()
 }
 
-// notes says what the time line lacks, before anyone reads it.
+// notes returns lines that state what the time line lacks; they come before the
+// events.
 func notes(t *Timeline) []string {
 	var lines []string
 	for _, m := range t.Missing {
@@ -51,7 +52,7 @@
 	}
 	for _, s := range t.Sources {
 		if s.Overwritten > 0 && !s.Since.Before(t.Filter.From) {
-			lines = append(lines, fmt.Sprintf("BEGINS   %s remembers nothing before %s (%d events overwritten)",
+			lines = append(lines, fmt.Sprintf("BEGINS   %s has no events from before %s (%d events overwritten)",
 				s.Process, s.Since.Format(clockLayout), s.Overwritten))
 		}
 	}
@@ -72,14 +73,14 @@
 	return names
 }
 
-// restarts names the processes that others met before they started: the events
-// of their predecessors ended with them.
+// restarts returns a note for each process that was a peer in an event before it
+// started: the events of its earlier incarnation are lost.
 func restarts(t *Timeline) []string {
 	var lines []string
 	met := map[string]bool{}
 	for _, e := range t.Events {
 		if e.Kind == event.ProcessStarted.String() && met[e.Process] {
-			lines = append(lines, fmt.Sprintf("RESTART  %s started at %s; what its predecessor recorded is gone",
+			lines = append(lines, fmt.Sprintf("RESTART  %s started at %s; the events of its earlier incarnation are lost",
 				e.Process, e.Time.Format(clockLayout)))
 		}
 		met[e.Peer] = true
@@ -87,7 +88,7 @@
 	return lines
 }
 
-// title names a missing process for people.
+// title returns the display name of a missing process.
 func (m Missing) title() string {
 	if m.Worker != "" && m.Worker != m.Process {
 		return m.Process + " (worker " + m.Worker + ")"
@@ -95,8 +96,8 @@
 	return m.Process
 }
 
-// subject names the job or task that an event is about. In the time line of one
-// job its name is left out.
+// subject returns the job or task of an event. In the time line of a single job its
+// ID is replaced by "job".
 func subject(t *Timeline, e Event) string {
 	job := e.Job
 	if job != "" && job == t.Filter.Job {
@@ -108,7 +109,7 @@
 	return job
 }
 
-// remarks is the rest of an event in words.
+// remarks describes the remaining fields of an event.
 func remarks(e Event) string {
 	var words []string
 	if e.Contract != "" {
@@ -126,7 +127,7 @@
 	return strings.Join(words, ", ")
 }
 
-// preposition says which way an event goes, as far as its kind tells.
+// preposition returns "to" for kinds that are directed at the peer, else "with".
 func preposition(kind string) string {
 	switch k, _ := event.ParseKind(kind); k {
 	case event.TaskDispatched, event.TaskResent, event.JobForwarded:
@@ -142,7 +143,7 @@
 	return fmt.Sprintf("%d %ss", n, unit)
 }
 
-// valueText is an event's value with its unit.
+// valueText returns an event's value with its unit, or "" if it is zero.
 func valueText(e Event) string {
 	if e.Value == 0 {
 		return ""
--- a/cmd/internal/timeline/timeline_test.go
+++ b/cmd/internal/timeline/timeline_test.go
@@ -29,7 +29,7 @@
 	return hlc.Pack(epoch.Add(time.Duration(ms)*time.Millisecond), logical)
 }
 
-// process is a fake of one process's operators' port.
+// process is a fake operator service of one process.
 type process struct {
 	status *pb.StatusResponse
 	events []*pb.Event
@@ -56,7 +56,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// fixture is two entries and three agents, one of each out of reach.
+// fixture returns two entries and three agents. One entry and one agent are
+// unreachable, and one agent has no known address.
 func fixture(t *testing.T) *fleet.Fleet {
 	t.Helper()
 	agent := func(name, worker, address string) *pb.AgentStatus {
@@ -100,10 +101,10 @@
 	return got
 }
 
-func TestCollectOrdersByCauseAndNamesWhoIsMissing(t *testing.T) {
-	// One entry and one agent are cut off while an operator looks into a lost
-	// job, and a third agent never told its address. Shown without them, the time
-	// line would say that nothing happened there.
+func TestCollectOrdersEventsAndListsMissing(t *testing.T) {
+	// One entry and one agent are unreachable, and a third agent never advertised its
+	// address. If they weren't listed, the time line would suggest that nothing
+	// happened there.
 	got := Collect(context.Background(), fixture(t), Filter{Job: "j"})
 	want := []string{"entry-1 job-accepted job", "entry-1 task-dispatched job#0", "agent-1 task-started job#0"}
 	if diff := cmp.Diff(want, lines(got)); diff != "" {
@@ -134,7 +135,7 @@
 	}
 }
 
-func TestCollectAddsWhatHappenedAroundAJob(t *testing.T) {
+func TestCollectAddsEventsAroundJob(t *testing.T) {
 	got := Collect(context.Background(), fixture(t), Filter{Job: "j", Around: true})
 	want := []string{
 		"entry-1 job-accepted job", "entry-1 task-dispatched job#0", "agent-1 task-started job#0", "entry-1 link-down ",
@@ -155,9 +156,9 @@
 	}
 }
 
-func TestPageHoldsHostileNames(t *testing.T) {
-	// A caller picks a job id that ends the page's script. Unescaped, it would run
-	// code in the browser of the operator who looks into it.
+func TestPageEscapesJobID(t *testing.T) {
+	// A job ID chosen by a caller closes the page's script element. Unescaped, it
+	// would run code in the browser of the operator who opens the page.
 	hostile := `</script><script>alert(1)</script>`
 	var out bytes.Buffer
 	line := &Timeline{Sources: []Source{{Process: "entry-1"}},
@@ -166,11 +167,11 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out.String(), "<script>alert") {
-		t.Error("a job id became a script")
+		t.Error("a job ID was written as a script element")
 	}
 }
 
-func TestJSONOmitsWhatIsUnset(t *testing.T) {
+func TestJSONOmitsUnsetTask(t *testing.T) {
 	var out bytes.Buffer
 	if err := WriteJSON(&out, Collect(context.Background(), fixture(t), Filter{Job: "j"})); err != nil {
 		t.Fatal(err)
@@ -182,15 +183,15 @@
 		t.Fatal(err)
 	}
 	if _, ok := decoded.Events[0]["task"]; ok {
-		t.Error("a job's event names a task")
+		t.Error("an event about a job has a task")
 	}
 	if string(decoded.Events[1]["task"]) != "0" {
 		t.Errorf("task 0 is %s", decoded.Events[1]["task"])
 	}
 }
 
-// madeUp is a time line of n events over entries and agents.
-func madeUp(n int) *Timeline {
+// generate returns a time line of n generated events over 3 entries and 11 agents.
+func generate(n int) *Timeline {
 	t := &Timeline{Missing: []Missing{}}
 	for i := range 3 {
 		t.Sources = append(t.Sources, Source{Process: fmt.Sprintf("entry-%d", i+1), Role: fleet.RoleEntry, FailureDomain: "frame-hall"})
@@ -229,10 +230,10 @@
 	return t
 }
 
-func TestPagesOfManySizes(t *testing.T) {
+func TestPageSizes(t *testing.T) {
 	for _, n := range []int{0, 1, 100, 10_000} {
 		var out bytes.Buffer
-		line := madeUp(n)
+		line := generate(n)
 		if n == 0 {
 			line.Sources = nil
 		}
