--- a/cmd/internal/status/alarms.go
+++ b/cmd/internal/status/alarms.go
@@ -10,15 +10,15 @@
 	"github.com/papayahoist/papayahoist/cmd/internal/fleet"
 )
 
-// nearLimit is the part of a limit from which a contract is shown as full.
+// nearLimit is the fraction of a limit at which an alarm is raised.
 const nearLimit = 0.9
 
-// mostNames bounds the names in one alarm, so that a lost failure domain takes
-// a line and not the screen.
-const mostNames = 6
+// maxNames is the maximum number of names in one alarm, so that the loss of a
+// failure domain takes one line instead of the whole screen.
+const maxNames = 6
 
-// addAlarms looks for what needs a person: who is gone first, then what is
-// refused, then what differs.
+// addAlarms adds the alarms in order of severity: unreachable processes, store and
+// link errors, refused jobs and used-up limits, then outdated configuration.
 func (r *Report) addAlarms(f *fleet.Fleet, agentFailures []fleet.Failure) {
 	for _, failure := range f.Failures {
 		r.alarm("%s does not answer: %s", failure.Process.Title(), failure.Reason())
@@ -49,17 +49,17 @@
 	for _, f := range failures {
 		list = append(list, f.Process.Name)
 	}
-	return shortList(list)
+	return truncatedList(list)
 }
 
-func shortList(list []string) string {
-	if len(list) <= mostNames {
+func truncatedList(list []string) string {
+	if len(list) <= maxNames {
 		return strings.Join(list, ", ")
 	}
-	return strings.Join(list[:mostNames], ", ") + ", …"
+	return strings.Join(list[:maxNames], ", ") + ", …"
 }
 
-// addAgentAlarms tells of agents that entries don't reach or hold back.
+// addAgentAlarms reports agents that entries aren't linked to or have suspended.
 func (r *Report) addAgentAlarms(statuses []*pb.StatusResponse) {
 	unlinked := map[string][]string{}  // agents by the entry that has no link
 	suspended := map[string][]string{} // agents by reason
@@ -75,10 +75,10 @@
 		}
 	}
 	for _, entry := range slices.Sorted(maps.Keys(unlinked)) {
-		r.alarm("%s has no link to %s: %s", entry, countAgents(len(unlinked[entry])), shortList(sorted(unlinked[entry])))
+		r.alarm("%s has no link to %s: %s", entry, countAgents(len(unlinked[entry])), truncatedList(sorted(unlinked[entry])))
 	}
 	for _, reason := range slices.Sorted(maps.Keys(suspended)) {
-		r.alarm("%s held back from work (%s): %s", countAgents(len(suspended[reason])), reason, shortList(sorted(suspended[reason])))
+		r.alarm("%s held back from work (%s): %s", countAgents(len(suspended[reason])), reason, truncatedList(sorted(suspended[reason])))
 	}
 }
 
@@ -90,23 +90,23 @@
 func (r *Report) addContractAlarms() {
 	for i := range r.Contracts {
 		c := &r.Contracts[i]
-		if now := sum(c.RefusedNow); now > 0 {
-			r.alarm("contract %s is refused %.1f jobs a second, mostly %s", c.Name, now, c.worstCode())
+		if now := sum(c.RefusedPerSecond); now > 0 {
+			r.alarm("contract %s is refused %.1f jobs a second, mostly %s", c.Name, now, c.mostFrequentCode())
 		}
-		if full := c.full(); len(full) > 0 {
+		if full := c.nearlyFull(); len(full) > 0 {
 			r.alarm("contract %s is at its limit of %s", c.Name, strings.Join(full, " and "))
 		}
 	}
 }
 
-// full names the limits that are nearly used up.
-func (c *Contract) full() []string {
+// nearlyFull returns the names of the limits that are nearly used up.
+func (c *Contract) nearlyFull() []string {
 	var full []string
 	limits := []struct {
 		name        string
 		used, limit float64
 	}{
-		{"rate", c.Starts, c.Rate},
+		{"rate", c.StartsPerSecond, c.Rate},
 		{"concurrency", float64(c.Running), float64(c.Concurrency)},
 		{"waiting tasks", float64(c.Waiting), float64(c.WaitingLimit)},
 		{"memory", float64(c.MemoryBytes), float64(c.MemoryLimitBytes)},
@@ -119,7 +119,7 @@
 	return full
 }
 
-// addRevisionAlarm tells of entries behind the newest configuration.
+// addRevisionAlarm reports entries whose configuration isn't the newest.
 func (r *Report) addRevisionAlarm() {
 	var newest uint64
 	for _, e := range r.Entries {
--- a/cmd/internal/status/live_test.go
+++ b/cmd/internal/status/live_test.go
@@ -16,9 +16,9 @@
 	standin "github.com/papayahoist/papayahoist/platform/standin/endpoint"
 )
 
-// TestStatusOfALiveSite asks real processes, so that what they count and what
-// the screen shows are the same.
-func TestStatusOfALiveSite(t *testing.T) {
+// TestStatusOfLiveSite checks that the report agrees with the counters of running
+// processes.
+func TestStatusOfLiveSite(t *testing.T) {
 	s, err := site.Start(site.Options{
 		Entries: 1, Workers: 2, WorkersPerRack: 1, FailureDomains: []string{"frame-hall"},
 		Slots: 2, Cores: 4, Connections: 4, MemoryBytes: 1 << 30, DrainTimeout: time.Second,
@@ -34,7 +34,7 @@
 	t.Cleanup(s.Stop)
 	for limit := time.Now().Add(20 * time.Second); s.Entries()[0].Links() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("the agents got no links")
+			t.Fatal("timed out waiting for the agents to be linked")
 		}
 	}
 	caller, err := client.New(client.Options{Addresses: s.CallerURLs()})
@@ -49,7 +49,7 @@
 	if _, err := caller.Submit(t.Context(), client.Job{Contract: "stamps", Kind: "k", Tasks: []jobs.Task{one, one}}); err != nil {
 		t.Fatal(err)
 	}
-	// The contract lets four tasks wait, so that five are refused at once.
+	// The contract allows four waiting tasks, so a job of five is refused at once.
 	id, err := caller.NewID(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,8 @@
 	if got.Started != 2 || got.Served != 1 || got.Offered != 2 {
 		t.Errorf("started %d tasks, served %d of %d jobs; want 2, 1 of 2", got.Started, got.Served, got.Offered)
 	}
-	// Revisions are the store's; the entry knows that it lacks none up to its own.
+	// Revisions are assigned by the store; the entry has all contracts up to its own
+	// revision.
 	if got.Revision == 0 || got.Revision > r.Entries[0].ConfigRevision {
 		t.Errorf("contract at revision %d, entry at %d", got.Revision, r.Entries[0].ConfigRevision)
 	}
--- a/cmd/internal/status/status.go
+++ b/cmd/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status condenses what the entries report into one screen: first what
-// is wrong, then who is alive, then the contracts against their limits.
+// Package status summarizes the status of all entries on one screen: the alarms,
+// the live processes, and the contracts' use against their limits.
 package status
 
 import (
@@ -16,20 +16,20 @@
 	"github.com/papayahoist/papayahoist/cmd/internal/fleet"
 )
 
-// Report is what one screen shows.
+// Report holds the contents of one screen.
 type Report struct {
 	Time time.Time `json:"time"`
-	// Interval is the time between the two readings behind the rates; zero:
-	// there was one reading, and rates are zero.
+	// Interval is the time between the two samples from which the rates are
+	// computed. It is zero if there was one sample; all rates are zero then.
 	Interval time.Duration `json:"interval_ns"`
-	// Alarms are what someone should look at now, worst first.
+	// Alarms are conditions that need attention now, most severe first.
 	Alarms    []string   `json:"alarms"`
 	Entries   []Entry    `json:"entries"`
 	Agents    Agents     `json:"agents"`
 	Contracts []Contract `json:"contracts"`
 }
 
-// Entry is one entry that answered.
+// Entry is the status of one entry that answered.
 type Entry struct {
 	Name           string        `json:"name"`
 	FailureDomain  string        `json:"failure_domain"`
@@ -41,7 +41,7 @@
 	StoreError     string        `json:"store_error,omitempty"`
 }
 
-// Agents sums up the agents that any entry knows of.
+// Agents holds totals over the agents that any entry knows.
 type Agents struct {
 	Known     int    `json:"known"`
 	Linked    int    `json:"linked"`
@@ -49,20 +49,20 @@
 	Suspended int    `json:"suspended"`
 	Slots     uint32 `json:"slots"`
 	Running   uint32 `json:"running"`
-	// Memory of the workers, and what running tasks have reserved, in bytes.
+	// Memory of the workers, and the memory reserved by running tasks, in bytes.
 	Memory   uint64 `json:"memory_bytes"`
 	Reserved uint64 `json:"reserved_memory_bytes"`
 }
 
-// Contract is one contract's use over all entries.
+// Contract holds the use of one contract over all entries.
 type Contract struct {
 	Name     string       `json:"name"`
 	Class    string       `json:"class"`
 	Revision uint64       `json:"revision"`
 	Limits   *pb.Contract `json:"-"`
-	// Starts per second, tasks running and waiting, memory reserved in bytes;
-	// each beside its limit.
-	Starts           float64 `json:"starts_per_second"`
+	// Starts per second, running and waiting tasks, and reserved memory in bytes,
+	// each followed by its limit.
+	StartsPerSecond  float64 `json:"starts_per_second"`
 	Rate             float64 `json:"rate_limit"`
 	Running          uint32  `json:"running"`
 	Concurrency      uint32  `json:"concurrency_limit"`
@@ -70,18 +70,19 @@
 	WaitingLimit     uint32  `json:"waiting_limit"`
 	MemoryBytes      uint64  `json:"memory_bytes"`
 	MemoryLimitBytes uint64  `json:"memory_limit_bytes"`
-	// Jobs since the entries' starts.
+	// Jobs since the entries started.
 	Offered uint64 `json:"offered"`
 	Served  uint64 `json:"served"`
-	// Started tasks since the entries' starts.
+	// Tasks started since the entries started.
 	Started uint64 `json:"started"`
-	// Refused by code since the entries' starts, and per second now.
-	Refused    map[string]uint64  `json:"refused,omitempty"`
-	RefusedNow map[string]float64 `json:"refused_per_second,omitempty"`
+	// Refused jobs by code: since the entries started, and per second in the
+	// interval.
+	Refused          map[string]uint64  `json:"refused,omitempty"`
+	RefusedPerSecond map[string]float64 `json:"refused_per_second,omitempty"`
 }
 
-// Collect reads the fleet, waits for interval and reads it again for the rates.
-// With a zero interval it reads once.
+// Collect queries the fleet twice, with the given interval in between, and computes
+// the rates from the difference. If the interval isn't positive, it queries once.
 func Collect(ctx context.Context, o fleet.Options, interval time.Duration) (*Report, error) {
 	begin := time.Now()
 	first, err := fleet.Discover(ctx, o)
@@ -104,8 +105,8 @@
 	return newReport(second, unreachableAgents(ctx, second), first, elapsed, time.Now()), nil
 }
 
-// unreachableAgents asks each agent itself: an entry's word that an agent lives
-// may be as old as a heartbeat.
+// unreachableAgents queries each agent directly and returns those that don't answer.
+// An entry's status may show a dead agent as linked for up to a heartbeat interval.
 func unreachableAgents(ctx context.Context, f *fleet.Fleet) []fleet.Failure {
 	var mu sync.Mutex
 	var failures []fleet.Failure
@@ -162,7 +163,7 @@
 	return n
 }
 
-// addAgents counts each agent once, by the entry with a link to it if any has one.
+// addAgents counts each agent once, preferring the status from an entry linked to it.
 func (r *Report) addAgents(statuses []*pb.StatusResponse) {
 	best := map[string]*pb.AgentStatus{}
 	suspended := map[string]bool{}
@@ -209,14 +210,15 @@
 	for _, name := range slices.SortedFunc(maps.Keys(contracts), fleet.CompareNames) {
 		c := contracts[name]
 		if old, ok := earlier[name]; ok && interval > 0 {
-			c.rates(old, interval)
+			c.setRates(old, interval)
 		}
 		r.Contracts = append(r.Contracts, *c)
 	}
 	slices.SortStableFunc(r.Contracts, func(a, b Contract) int { return int(a.Limits.GetClass()) - int(b.Limits.GetClass()) })
 }
 
-// add sums up one entry's part of a contract. Limits are the newest revision's.
+// add adds one entry's counters of a contract. The limits are those of the newest
+// revision.
 func add(contracts map[string]*Contract, s *pb.ContractStatus) {
 	name := s.GetContract().GetName()
 	c := contracts[name]
@@ -260,32 +262,33 @@
 	return "unset"
 }
 
-// rates compares with an earlier reading. A counter that went down belongs to
-// an entry that restarted in between; there is no rate then.
-func (c *Contract) rates(old *Contract, interval time.Duration) {
+// setRates computes the rates since an earlier sample. A counter that went down
+// belongs to an entry that restarted in between; its rate is zero.
+func (c *Contract) setRates(old *Contract, interval time.Duration) {
 	if c.Started > old.Started {
-		c.Starts = float64(c.Started-old.Started) / interval.Seconds()
+		c.StartsPerSecond = float64(c.Started-old.Started) / interval.Seconds()
 	}
-	c.RefusedNow = map[string]float64{}
+	c.RefusedPerSecond = map[string]float64{}
 	for code, count := range c.Refused {
 		if count > old.Refused[code] {
-			c.RefusedNow[code] = float64(count-old.Refused[code]) / interval.Seconds()
+			c.RefusedPerSecond[code] = float64(count-old.Refused[code]) / interval.Seconds()
 		}
 	}
 }
 
-// quiet reports whether nothing of a contract runs, waits, starts or is refused.
-func (c Contract) quiet() bool {
-	return c.Running == 0 && c.Waiting == 0 && c.Starts == 0 && sum(c.RefusedNow) == 0
+// isIdle reports whether a contract has no running, waiting, starting or refused
+// work.
+func (c Contract) isIdle() bool {
+	return c.Running == 0 && c.Waiting == 0 && c.StartsPerSecond == 0 && sum(c.RefusedPerSecond) == 0
 }
 
-// worstCode returns the code that refuses most now, or since the start if
-// nothing is refused now.
-func (c *Contract) worstCode() string {
+// mostFrequentCode returns the most frequent refusal code of the interval, or since
+// the start if nothing was refused in the interval.
+func (c *Contract) mostFrequentCode() string {
 	worst, most := "", 0.0
-	for _, code := range slices.Sorted(maps.Keys(c.RefusedNow)) {
-		if c.RefusedNow[code] > most {
-			worst, most = code, c.RefusedNow[code]
+	for _, code := range slices.Sorted(maps.Keys(c.RefusedPerSecond)) {
+		if c.RefusedPerSecond[code] > most {
+			worst, most = code, c.RefusedPerSecond[code]
 		}
 	}
 	if worst != "" {
--- a/cmd/internal/status/status_test.go
+++ b/cmd/internal/status/status_test.go
@@ -34,10 +34,10 @@
 		Suspended: suspended, Load: &pb.AgentLoad{Running: 4, ReservedMemoryBytes: 1 << 30}}
 }
 
-func TestReportOfANightWithFaults(t *testing.T) {
-	// At night an entry and an agent die, another entry is cut off from the
-	// store and so behind with the configuration, a worker fails its tasks, and a
-	// customer is over its rate. Whoever is called sees each of them at the top.
+func TestReportListsAlarmsBySeverity(t *testing.T) {
+	// An entry and an agent are dead, another entry can't reach the store and has an
+	// old configuration, a worker fails its tasks, and a customer exceeds its rate.
+	// The report must list each of them as an alarm.
 	before := &fleet.Fleet{Statuses: []*pb.StatusResponse{entryStatus("entry-1", 7, 2, 100), entryStatus("entry-2", 7, 1, 100)}}
 	behind := entryStatus("entry-2", 6, 1, 140, agentStatus("agent-1", false, ""), agentStatus("agent-2", true, ""))
 	behind.StoreError = "deadline exceeded"
@@ -79,9 +79,9 @@
 	}
 }
 
-func TestScreenStaysOneScreen(t *testing.T) {
-	// A failure domain with 800 agents is lost, and only one of 42 customers has
-	// work. The screen must still show that one, instead of 800 lines above it.
+func TestTextFitsOneScreen(t *testing.T) {
+	// A failure domain with 800 agents is lost, and only one of 42 contracts has
+	// work. The alarms must not push that contract off the screen.
 	now := &fleet.Fleet{Statuses: []*pb.StatusResponse{entryStatus("entry-1", 7, 0, 0)}}
 	var gone []fleet.Failure
 	for range 800 {
@@ -107,13 +107,13 @@
 	}
 }
 
-func TestRatesSurviveRestarts(t *testing.T) {
-	// An entry restarts between the two readings, and its counters begin anew.
-	// Taken as unsigned numbers, their difference would be astronomical.
+func TestRatesAfterRestart(t *testing.T) {
+	// An entry restarts between the two samples, and its counters start at zero. The
+	// unsigned difference would wrap around to a huge rate.
 	before := &fleet.Fleet{Statuses: []*pb.StatusResponse{entryStatus("entry-1", 7, 500, 900)}}
 	now := &fleet.Fleet{Statuses: []*pb.StatusResponse{entryStatus("entry-1", 7, 3, 2)}}
 	r := newReport(now, nil, before, time.Second, at)
-	if got := sum(r.Contracts[0].RefusedNow); got != 0 {
+	if got := sum(r.Contracts[0].RefusedPerSecond); got != 0 {
 		t.Errorf("%v refused a second, want none", got)
 	}
 	if len(r.Alarms) != 0 {
--- a/cmd/internal/status/text.go
+++ b/cmd/internal/status/text.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// mostAlarms and mostContracts bound what is on the screen; of more contracts,
-// those at rest are left out.
+// maxAlarms and maxContracts limit the length of the screen. If there are more
+// contracts, the quiet ones are left out.
 const (
-	mostAlarms    = 12
-	mostContracts = 16
+	maxAlarms    = 12
+	maxContracts = 16
 )
 
 // WriteJSON writes the report as one JSON object.
@@ -23,7 +23,7 @@
 	return encoder.Encode(r)
 }
 
-// WriteText writes the report as one screen.
+// WriteText writes the report as one screen of text.
 func WriteText(w io.Writer, r *Report) error {
 	out := &screen{w: w}
 	out.printf("papayahoist  %s UTC\n\n", r.Time.UTC().Format(time.DateTime))
@@ -34,7 +34,7 @@
 	return out.err
 }
 
-// screen keeps the first error of its writes.
+// screen writes to w and keeps the first error.
 type screen struct {
 	w   io.Writer
 	err error
@@ -46,7 +46,7 @@
 	}
 }
 
-// table aligns the rows that fill writes.
+// table writes the rows that fill adds, with aligned columns.
 func (s *screen) table(fill func(row func(format string, args ...any))) {
 	table := tabwriter.NewWriter(s.w, 0, 0, 2, ' ', 0)
 	fill(func(format string, args ...any) {
@@ -64,7 +64,7 @@
 	}
 	s.printf("ALARMS\n")
 	for i, a := range alarms {
-		if i == mostAlarms {
+		if i == maxAlarms {
 			s.printf("  and %d more; --format json has them all\n", len(alarms)-i)
 			break
 		}
@@ -105,8 +105,8 @@
 
 func (s *screen) contracts(contracts []Contract, interval time.Duration) {
 	shown := contracts
-	if len(contracts) > mostContracts {
-		shown = slices.DeleteFunc(slices.Clone(contracts), Contract.quiet)
+	if len(contracts) > maxContracts {
+		shown = slices.DeleteFunc(slices.Clone(contracts), Contract.isIdle)
 	}
 	s.table(func(row func(string, ...any)) {
 		row("CONTRACT\tCLASS\tSTARTS/S\tRUNNING\tMEMORY\tWAITING\tOFFERED\tSERVED\tREFUSED\tNOW/S\tMOSTLY")
@@ -114,11 +114,11 @@
 			c := &shown[i]
 			now := "-"
 			if interval > 0 {
-				now = fmt.Sprintf("%.1f", sum(c.RefusedNow))
+				now = fmt.Sprintf("%.1f", sum(c.RefusedPerSecond))
 			}
-			row("%s\t%s\t%.0f/%.0f\t%d/%d\t%s/%s\t%d/%d\t%d\t%d\t%d\t%s\t%s", c.Name, c.Class, c.Starts, c.Rate,
+			row("%s\t%s\t%.0f/%.0f\t%d/%d\t%s/%s\t%d/%d\t%d\t%d\t%d\t%s\t%s", c.Name, c.Class, c.StartsPerSecond, c.Rate,
 				c.Running, c.Concurrency, bytesText(c.MemoryBytes), bytesText(c.MemoryLimitBytes),
-				c.Waiting, c.WaitingLimit, c.Offered, c.Served, sum(c.Refused), now, c.worstCode())
+				c.Waiting, c.WaitingLimit, c.Offered, c.Served, sum(c.Refused), now, c.mostFrequentCode())
 		}
 	})
 	if n := len(contracts) - len(shown); n > 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// bytesText shows a size in the largest unit that leaves at most four digits.
+// bytesText formats a size in the smallest unit in which it is below 10240.
 func bytesText(n uint64) string {
 	const step = 1024
 	units := []string{"B", "KiB", "MiB", "GiB", "TiB"}
