--- a/cmd/internal/fleet/fleet.go
+++ b/cmd/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet finds the live processes through the operators' port of any of
-// them, and asks them in parallel. A process that doesn't answer is named, with
-// the reason: in a fault, what is missing matters as much as what is there.
+// Package fleet discovers the live processes through the operators' port of any of
+// them, and queries them in parallel. Processes that don't answer are returned with
+// the reason, so that missing data is never mistaken for an absence of events.
 package fleet
 
 import (
@@ -33,18 +33,18 @@
 	RoleAgent = "agent"
 )
 
-// maxResponseBytes bounds one process's answer: the largest time line, and the
-// status of an entry with many agents.
+// maxResponseBytes is the maximum size of one process's response. It must hold the
+// largest time line, and the status of an entry with many agents.
 const maxResponseBytes = 64 << 20
 
 var (
 	errorNamespace = errorx.NewNamespace("fleet")
-	// ErrNobody means that none of the addresses answered.
-	ErrNobody = errorNamespace.NewType("nobody_answers")
-	errNoPort = errorNamespace.NewType("no_operators_address")
+	// ErrNoAnswer means that none of the addresses answered.
+	ErrNoAnswer  = errorNamespace.NewType("nobody_answers")
+	errNoAddress = errorNamespace.NewType("no_operators_address")
 )
 
-// Client asks one process.
+// Client is the operators' client of one process.
 type Client = papayahoistv1connect.OperatorServiceClient
 
 // Process is one process of the system.
@@ -54,7 +54,7 @@
 	Incarnation   string
 	Worker        string
 	FailureDomain string
-	// Address of its operators' port.
+	// Address of the operators' port.
 	Address string
 }
 
@@ -65,7 +65,7 @@
 	Err     error
 }
 
-// Reason is the error in a line's length.
+// Reason returns a short text of the error, for one line of output.
 func (f Failure) Reason() string {
 	var rpc *connect.Error
 	if errors.As(f.Err, &rpc) {
@@ -74,7 +74,7 @@
 	return f.Err.Error()
 }
 
-// Title names the process for people.
+// Title returns the display name of the process.
 func (p Process) Title() string {
 	if p.Name == "" {
 		return "process at " + p.Address
@@ -86,28 +86,28 @@
 type Options struct {
 	// Addresses of operators' ports, "ip:port"; one live entry is enough.
 	Addresses []string
-	// Dial makes a client; nil dials plain HTTP.
+	// Dial creates a client for an address. If nil, plain HTTP is used.
 	Dial func(address string) Client
-	// Timeout bounds each request, Parallel the requests at a time; zero takes
-	// the default.
+	// Timeout is the timeout of each request, Parallel the maximum number of
+	// concurrent requests. Zero values mean the defaults.
 	Timeout  time.Duration
 	Parallel int
 }
 
-// Fleet is what was found.
+// Fleet is the result of a discovery.
 type Fleet struct {
 	options Options
-	// Statuses are the answers of entries, by name.
+	// Statuses are the responses of the entries, sorted by name.
 	Statuses []*pb.StatusResponse
-	// Processes are entries and agents, entries first, by name. Those that
-	// failed are among them if their address is known.
+	// Processes are the entries and agents, entries first, sorted by name. They
+	// include those that failed if their address is known.
 	Processes []Process
 	// Failures are the entries that did not answer, and the processes without a
 	// known address.
 	Failures []Failure
 }
 
-// DialHTTP returns a Dial function on an HTTP client.
+// DialHTTP returns a Dial function that uses the HTTP client with the given scheme.
 func DialHTTP(client *http.Client, scheme string) func(string) Client {
 	return func(address string) Client {
 		return papayahoistv1connect.NewOperatorServiceClient(client, scheme+"://"+address,
@@ -128,19 +128,19 @@
 	return o
 }
 
-// Discover asks the addresses, then every entry that their answers name, until
-// no new one turns up. It returns ErrNobody if nothing answers.
+// Discover queries the addresses, then every entry named in the responses, until no
+// new entry is found. It returns ErrNoAnswer if no process answers.
 func Discover(ctx context.Context, o Options) (*Fleet, error) {
-	d := discovery{fleet: &Fleet{options: o.withDefaults()}, asked: map[string]bool{}, known: map[string]Process{}}
+	d := discovery{fleet: &Fleet{options: o.withDefaults()}, queried: map[string]bool{}, known: map[string]Process{}}
 	round := make([]Process, 0, len(o.Addresses))
 	for _, address := range o.Addresses {
 		round = append(round, Process{Address: address})
 	}
 	for len(round) > 0 {
-		round = d.ask(ctx, round)
+		round = d.query(ctx, round)
 	}
 	if len(d.answered) == 0 {
-		return nil, ErrNobody.New("none of %s answers: %s",
+		return nil, ErrNoAnswer.New("none of %s answers: %s",
 			strings.Join(o.Addresses, ", "), reasons(d.fleet.Failures))
 	}
 	d.finish()
@@ -157,17 +157,17 @@
 
 type discovery struct {
 	fleet    *Fleet
-	asked    map[string]bool // by address
+	queried  map[string]bool // by address
 	answered []Process
 	known    map[string]Process // by name
 }
 
-// ask gets the status of a round of processes and returns the entries that
-// were not known before.
-func (d *discovery) ask(ctx context.Context, round []Process) []Process {
+// query requests the status of the processes that haven't been queried yet and
+// returns the entries named in their responses.
+func (d *discovery) query(ctx context.Context, round []Process) []Process {
 	round = slices.DeleteFunc(round, func(p Process) bool {
-		seen := d.asked[p.Address]
-		d.asked[p.Address] = true
+		seen := d.queried[p.Address]
+		d.queried[p.Address] = true
 		return seen
 	})
 	var mu sync.Mutex
@@ -185,7 +185,7 @@
 	return next
 }
 
-// add takes in an answer and returns the entries that it names.
+// add records a response and returns the entries named in it.
 func (d *discovery) add(r *pb.StatusResponse, address string) []Process {
 	self := Process{Name: r.Process, Role: r.Role, Incarnation: r.Incarnation, Worker: r.Worker,
 		FailureDomain: r.FailureDomain, Address: address}
@@ -201,7 +201,7 @@
 	d.known[self.Name] = self
 	for _, a := range r.Agents {
 		if h := a.Hello; h != nil {
-			d.learn(Process{Name: h.Agent, Role: RoleAgent, Incarnation: h.Incarnation, Worker: h.Worker,
+			d.addKnown(Process{Name: h.Agent, Role: RoleAgent, Incarnation: h.Incarnation, Worker: h.Worker,
 				FailureDomain: h.FailureDomain, Address: h.OperatorAddress})
 		}
 	}
@@ -209,7 +209,7 @@
 	for _, peer := range r.Peers {
 		p := Process{Name: peer.Entry, Role: RoleEntry, Incarnation: peer.Incarnation,
 			FailureDomain: peer.FailureDomain, Address: peer.OperatorAddress}
-		d.learn(p)
+		d.addKnown(p)
 		if p.Address != "" {
 			entries = append(entries, p)
 		}
@@ -217,8 +217,8 @@
 	return entries
 }
 
-// learn keeps the first description that has an address.
-func (d *discovery) learn(p Process) {
+// addKnown records a process unless a description with an address is already known.
+func (d *discovery) addKnown(p Process) {
 	if old, ok := d.known[p.Name]; !ok || old.Address == "" {
 		d.known[p.Name] = p
 	}
@@ -228,7 +228,7 @@
 	f := d.fleet
 	for _, p := range d.known {
 		if p.Address == "" {
-			f.Failures = append(f.Failures, Failure{p, errNoPort.New("its operators' address is not known")})
+			f.Failures = append(f.Failures, Failure{p, errNoAddress.New("its operators' address is not known")})
 			continue
 		}
 		f.Processes = append(f.Processes, p)
@@ -238,12 +238,12 @@
 	slices.SortFunc(f.Statuses, func(a, b *pb.StatusResponse) int { return CompareNames(a.Process, b.Process) })
 }
 
-// compare puts entries before agents.
+// compare orders entries before agents, then by name and address.
 func compare(a, b Process) int {
 	return cmp.Or(-cmp.Compare(a.Role, b.Role), CompareNames(a.Name, b.Name), cmp.Compare(a.Address, b.Address))
 }
 
-// CompareNames orders names as people do: agent-2 before agent-10.
+// CompareNames orders names naturally: agent-2 before agent-10.
 func CompareNames(a, b string) int {
 	stemA, numberA := splitNumber(a)
 	stemB, numberB := splitNumber(b)
@@ -253,14 +253,15 @@
 	return cmp.Or(cmp.Compare(len(numberA), len(numberB)), cmp.Compare(numberA, numberB))
 }
 
-// splitNumber cuts off the digits at the end of a name, without leading zeros.
+// splitNumber splits a name into its stem and the trailing digits, without leading
+// zeros.
 func splitNumber(name string) (stem, number string) {
 	stem = strings.TrimRight(name, "0123456789")
 	return stem, strings.TrimLeft(name[len(stem):], "0")
 }
 
-// Each calls ask for every process, several at a time, each with its own
-// timeout, and returns when all calls have. Calls run on different goroutines.
+// Each calls ask for every process, concurrently and each with its own timeout, and
+// returns when all calls have returned.
 func (f *Fleet) Each(ctx context.Context, ask func(context.Context, Process, Client)) {
 	f.each(ctx, f.Processes, ask)
 }
@@ -279,8 +280,8 @@
 	_ = group.Wait() // the functions return no error
 }
 
-// AgentOf returns the name of the agent beside a worker; a name that is no
-// worker's is returned as it is.
+// AgentOf returns the name of the agent beside the worker, or the given name if
+// there is no such worker.
 func (f *Fleet) AgentOf(worker string) string {
 	for _, p := range f.Processes {
 		if p.Role == RoleAgent && p.Worker == worker {
--- a/cmd/internal/fleet/fleet_test.go
+++ b/cmd/internal/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/papayahoist/papayahoist/api/papayahoistv1/papayahoistv1connect"
 )
 
-// answer is a process that knows its status; nil: it is down.
+// answer is a fake process that returns status, or fails if status is nil.
 type answer struct {
 	papayahoistv1connect.UnimplementedOperatorServiceHandler
 	status *pb.StatusResponse
@@ -37,8 +37,8 @@
 }
 
 func TestDiscoverFollowsPeers(t *testing.T) {
-	// The operator knows one entry only, which does not know every agent; the
-	// first address on the command line is that of a dead entry.
+	// Only one of the given entries is live at first, and it doesn't know every agent.
+	// The first address is that of a dead entry.
 	entry := func(name string, peer string, agents ...string) *pb.StatusResponse {
 		s := &pb.StatusResponse{Process: name, Incarnation: name, Role: RoleEntry,
 			Peers: []*pb.Peer{{Entry: "entry-" + peer, Incarnation: "entry-" + peer, OperatorAddress: peer}}}
@@ -73,9 +73,9 @@
 	}
 }
 
-func TestDiscoverWithoutAnyAnswer(t *testing.T) {
+func TestDiscoverFailsIfNoProcessAnswers(t *testing.T) {
 	_, err := discover(t, nil, "1", "2")
-	if !errorx.IsOfType(err, ErrNobody) || !strings.Contains(err.Error(), "none of 1, 2 answers") {
+	if !errorx.IsOfType(err, ErrNoAnswer) || !strings.Contains(err.Error(), "none of 1, 2 answers") {
 		t.Errorf("error %v", err)
 	}
 }
