--- a/cmd/internal/demo/caller.go
+++ b/cmd/internal/demo/caller.go
@@ -13,25 +13,25 @@
 	standin "github.com/papayahoist/papayahoist/platform/standin/endpoint"
 )
 
-// task names one task at the endpoints.
+// task identifies one task at the endpoints.
 type task struct {
 	job   string
 	index uint32
 }
 
-// record is what became of one job.
+// record is the outcome of one job.
 type record struct {
-	plan   bench.JobPlan
-	id     string
-	took   time.Duration
-	answer *client.Answer
-	err    error
-	// again is the outcome of the same job sent a second time.
-	again *record
+	plan    bench.JobPlan
+	id      string
+	elapsed time.Duration
+	answer  *client.Answer
+	err     error
+	// duplicate is the outcome of the duplicate submission; nil if there is none.
+	duplicate *record
 }
 
-// callers are one client per entry: each prefers its own, and turns to the
-// others when that one fails.
+// callers holds one client per entry. Each prefers its own entry and fails over to
+// the others.
 type callers []*client.Client
 
 func newCallers(addresses []string) (callers, error) {
@@ -40,14 +40,14 @@
 		rotated := append(append([]string{}, addresses[i:]...), addresses[:i]...)
 		made, err := client.New(client.Options{Addresses: rotated})
 		if err != nil {
-			return nil, Start.Wrap(err, "client")
+			return nil, ErrStart.Wrap(err, "client")
 		}
 		all = append(all, made)
 	}
 	return all, nil
 }
 
-// run sends the planned jobs at their times and waits for every answer.
+// run submits the planned jobs at their times and waits for every answer.
 func (c callers) run(ctx context.Context, profile bench.Profile, plan []bench.JobPlan) []record {
 	records := make([]record, len(plan))
 	start := time.Now()
@@ -57,19 +57,21 @@
 		case <-ctx.Done():
 		case <-time.After(time.Until(start.Add(plan[i].At))):
 		}
-		wg.Go(func() { records[i] = c.send(ctx, i, profile.Streams[plan[i].Stream], plan[i]) })
+		wg.Go(func() { records[i] = c.submitPlanned(ctx, i, profile.Streams[plan[i].Stream], plan[i]) })
 	}
 	wg.Wait()
 	return records
 }
 
-// strangers is how many jobs are sent under a contract that doesn't exist.
-const strangers = 5
+// unknownContractJobs is the number of jobs that are submitted under an unknown
+// contract.
+const unknownContractJobs = 5
 
-// refused sends jobs that must be refused, to put "not run" to the test.
-func (c callers) refused(ctx context.Context) []record {
+// submitUnknownContract submits jobs that must be refused, to check the outcome "not
+// run".
+func (c callers) submitUnknownContract(ctx context.Context) []record {
 	plan := bench.JobPlan{Stream: -1, Tasks: []bench.TaskPlan{{Run: time.Millisecond}}}
-	records := make([]record, strangers)
+	records := make([]record, unknownContractJobs)
 	for i := range records {
 		job := client.Job{Contract: "no-such-contract", Kind: "stranger", Timeout: time.Second, Tasks: tasks(i, plan)}
 		records[i] = submit(ctx, c[i%len(c)], plan, job)
@@ -77,10 +79,11 @@
 	return records
 }
 
-// send submits one job. Stamps and pickups are sent twice at once, by two
-// callers to two entries, as by a client that believes its job was lost: a
-// second start would double a certificate or a payment.
-func (c callers) send(ctx context.Context, i int, stream bench.Stream, plan bench.JobPlan) record {
+// submitPlanned submits one job. Stamps and pickups are submitted twice at the same
+// time, by two callers to two entries, as by a client that retries a job it believes
+// lost. They aren't idempotent: a second start would double a certificate or a
+// payment.
+func (c callers) submitPlanned(ctx context.Context, i int, stream bench.Stream, plan bench.JobPlan) record {
 	first := c[i%len(c)]
 	job := client.Job{Contract: stream.Contract.Name, Kind: stream.Kind, Timeout: stream.Timeout, Tasks: tasks(i, plan)}
 	if !nonIdempotent(stream.Kind) {
@@ -96,7 +99,7 @@
 	wg.Go(func() { again = submit(ctx, c[(i+1)%len(c)], plan, job) })
 	result := submit(ctx, first, plan, job)
 	wg.Wait()
-	result.again = &again
+	result.duplicate = &again
 	return result
 }
 
@@ -105,7 +108,7 @@
 func submit(ctx context.Context, through *client.Client, plan bench.JobPlan, job client.Job) record {
 	start := time.Now()
 	answer, err := through.Submit(ctx, job)
-	r := record{plan: plan, id: job.ID, took: time.Since(start), answer: answer, err: err}
+	r := record{plan: plan, id: job.ID, elapsed: time.Since(start), answer: answer, err: err}
 	switch {
 	case err != nil:
 		r.id = client.JobOf(err)
@@ -115,8 +118,8 @@
 	return r
 }
 
-// tasks declares what the plan declares, and tells the stand-in what each task
-// will really do.
+// tasks returns the tasks of a planned job with the declared resources. The payload
+// sets the actual run time and resource use at the stand-in endpoint.
 func tasks(job int, plan bench.JobPlan) []jobs.Task {
 	all := make([]jobs.Task, len(plan.Tasks))
 	for i, t := range plan.Tasks {
@@ -134,5 +137,5 @@
 	return all
 }
 
-// echo is the result that a task must come back with.
+// echo returns the expected result of a task.
 func echo(job, task int) string { return fmt.Sprintf("%d/%d", job, task) }
--- a/cmd/internal/demo/demo.go
+++ b/cmd/internal/demo/demo.go
@@ -19,17 +19,17 @@
 
 // Types of this package's errors.
 var (
-	// Start means that the site could not be started or did not get ready.
-	Start = namespace.NewType("start")
-	// Broken means that a promise was broken.
-	Broken = namespace.NewType("promise_broken")
+	// ErrStart means that the site could not be started or did not become ready.
+	ErrStart = namespace.NewType("start")
+	// ErrPromise means that a guarantee was violated.
+	ErrPromise = namespace.NewType("promise_broken")
 )
 
 // Defaults of Options.
 const (
-	DefaultLength = 8 * time.Second
-	DefaultLoad   = 0.5
-	DefaultSeed   = 1
+	DefaultDuration = 8 * time.Second
+	DefaultLoad     = 0.5
+	DefaultSeed     = 1
 )
 
 const (
@@ -40,16 +40,16 @@
 
 // Options of a run.
 type Options struct {
-	// Length is how long jobs arrive, Load the offered task time over what the
-	// slots can serve, Seed fixes the arrivals.
-	Length time.Duration
-	Load   float64
-	Seed   uint64
-	// Faults kills an entry and an agent halfway, and starts them again.
+	// Duration is how long jobs arrive. Load is the offered task time over the
+	// capacity of the slots. Seed determines the arrivals.
+	Duration time.Duration
+	Load     float64
+	Seed     uint64
+	// Faults kills and restarts an entry and an agent halfway through the run.
 	Faults bool
-	// Progress gets a line per stage of the run.
+	// Progress is called with a message for each stage of the run.
 	Progress func(format string, args ...any)
-	// Log gets the processes' log lines.
+	// Log receives the processes' log lines.
 	Log io.Writer
 }
 
@@ -60,10 +60,10 @@
 	site    *site.Site
 }
 
-// New starts the site: 3 entries and 11 agents with stand-in endpoints, over 3
-// failure domains. It ends with Stop.
+// New starts a site of 3 entries and 11 agents with stand-in endpoints in 3 failure
+// domains, and waits until it is ready. The caller must call Stop.
 func New(ctx context.Context, options Options) (*Demo, error) {
-	profile := mixed()
+	profile := mixedProfile()
 	running, err := site.Start(site.Options{
 		Entries: profile.Entries, Workers: profile.Workers, WorkersPerRack: profile.WorkersPerRack,
 		FailureDomains: profile.FailureDomains, Slots: profile.Slots, Cores: profile.Cores,
@@ -72,7 +72,7 @@
 		Logger: slog.New(slog.NewTextHandler(options.Log, &slog.HandlerOptions{Level: slog.LevelWarn})),
 	})
 	if err != nil {
-		return nil, Start.Wrap(err, "site")
+		return nil, ErrStart.Wrap(err, "site")
 	}
 	d := &Demo{options: options, profile: profile, site: running}
 	if err := d.awaitReady(ctx); err != nil {
@@ -82,8 +82,8 @@
 	return d, nil
 }
 
-// mixed is one site with both users' work.
-func mixed() bench.Profile {
+// mixedProfile returns the profile of a site with the load of both users.
+func mixedProfile() bench.Profile {
 	profile := bench.Cadwaladr()
 	profile.Name = "demo"
 	profile.Streams = append(profile.Streams, bench.Hilvana().Streams...)
@@ -101,33 +101,33 @@
 	return all
 }
 
-// Callers lists the entries' base URLs for callers.
+// Callers returns the base URLs of the entries' callers' ports.
 func (d *Demo) Callers() []string { return d.site.CallerURLs() }
 
-// Publish makes the first entry's callers' port reachable at a fixed address
-// until the returned function is called.
+// Publish forwards a fixed address to the first entry's callers' port until the
+// returned function is called.
 func (d *Demo) Publish(address string) (end func(), err error) {
 	relay, err := site.NewRelayAt(address, 0)
 	if err != nil {
-		return nil, Start.Wrap(err, "address for callers")
+		return nil, ErrStart.Wrap(err, "address for callers")
 	}
 	relay.SetBackend(strings.TrimPrefix(d.Callers()[0], "http://"))
 	return relay.Close, nil
 }
 
-// Store is the base URL of the stand-in store, which holds the contracts.
+// Store returns the base URL of the stand-in store, which holds the contracts.
 func (d *Demo) Store() string { return "http://" + d.site.Store().Address() }
 
-// Operators is the address of the first entry's operators' port.
+// Operators returns the address of the first entry's operators' port.
 func (d *Demo) Operators() string { return d.site.Entries()[0].OperatorsAddress() }
 
-// Stop drains the site.
+// Stop drains and stops the site.
 func (d *Demo) Stop() { d.site.Stop() }
 
-// Run sends the load and returns what came of it.
+// Run submits the load and reports its outcome.
 func (d *Demo) Run(ctx context.Context) (*Report, error) {
-	plan := d.profile.Plan(d.options.Seed, d.options.Load, d.options.Length, "")
-	d.options.Progress("%d jobs arrive over %s at %.0f%% load", len(plan), d.options.Length, 100*d.options.Load)
+	plan := d.profile.Plan(d.options.Seed, d.options.Load, d.options.Duration, "")
+	d.options.Progress("%d jobs arrive over %s at %.0f%% load", len(plan), d.options.Duration, 100*d.options.Load)
 	callers, err := newCallers(d.Callers())
 	if err != nil {
 		return nil, err
@@ -140,14 +140,14 @@
 	start := time.Now()
 	records := callers.run(ctx, d.profile, plan)
 	<-faults
-	strangers := callers.refused(ctx)
+	unknownContract := callers.submitUnknownContract(ctx)
 	d.options.Progress("all answered after %s", time.Since(start).Round(time.Millisecond))
 	return newReport(d.profile, outcome{
-		records: records, strangers: strangers, starts: d.starts(), faults: d.options.Faults,
+		records: records, unknownContract: unknownContract, starts: d.starts(), faults: d.options.Faults,
 	}), nil
 }
 
-// injectFaults kills an entry and an agent while jobs are in flight.
+// injectFaults kills and restarts an entry and an agent while jobs are in flight.
 func (d *Demo) injectFaults(ctx context.Context) {
 	if !d.options.Faults {
 		return
@@ -155,7 +155,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(d.options.Length / 2):
+	case <-time.After(d.options.Duration / 2):
 	}
 	entry, agent := d.site.Entries()[1], d.site.Agents()[4]
 	entry.Kill()
@@ -173,7 +173,7 @@
 	total := make(map[task]int)
 	for _, agent := range d.site.Agents() {
 		for key, count := range agent.Worker().Starts() {
-			// Endpoints know a job by contract and id.
+			// Endpoints identify a job by contract and ID.
 			_, id := job.SplitName(key.Job)
 			total[task{job: id, index: key.Index}] += count
 		}
--- a/cmd/internal/demo/demo_test.go
+++ b/cmd/internal/demo/demo_test.go
@@ -10,8 +10,8 @@
 	"github.com/papayahoist/papayahoist/cmd/internal/bench"
 )
 
-// The demo's verdict is worth nothing if it can't say no. Each case hands it a
-// run in which one promise was broken, and it must name that promise.
+// Each case is a run in which one guarantee is violated; the report must name that
+// guarantee.
 func TestReportNamesBrokenPromise(t *testing.T) {
 	plan := bench.JobPlan{Tasks: make([]bench.TaskPlan, 2)}
 	good := func(job int) record {
@@ -22,7 +22,7 @@
 	short := good(0)
 	short.answer = &client.Answer{ID: "a", Results: short.answer.Results[:1]}
 	twice := good(0)
-	twice.again = &record{plan: plan, id: "a", err: client.NotRun.New("refused")}
+	twice.duplicate = &record{plan: plan, id: "a", err: client.NotRun.New("refused")}
 	ran := map[task]int{{"a", 0}: 1, {"a", 1}: 1}
 	tests := []struct {
 		name    string
@@ -36,13 +36,13 @@
 		{"result made up", outcome{records: []record{good(0)}}, "what was answered has run"},
 		{"false not run", outcome{records: []record{{plan: plan, id: "a", err: client.NotRun.New("refused")}}, starts: ran, faults: true}, `"not run" is true`},
 		{"two outcomes", outcome{records: []record{twice}, faults: true, starts: ran}, "a job sent twice has one outcome"},
-		{"stranger served", outcome{strangers: []record{good(0)}, starts: ran}, "a job without a contract is refused"},
+		{"unknown contract served", outcome{unknownContract: []record{good(0)}, starts: ran}, "a job without a contract is refused"},
 		{"job not answered", outcome{records: []record{{plan: plan, id: "a", err: client.Failed.New("failed")}}}, "without faults every job is answered"},
 		{"job not answered under faults", outcome{records: []record{{plan: plan, id: "a", err: client.Failed.New("failed")}}, faults: true}, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			report := newReport(mixed(), test.outcome)
+			report := newReport(mixedProfile(), test.outcome)
 			named := test.promise == ""
 			for _, tally := range report.Promises {
 				named = named || tally.Promise == test.promise && tally.Broken > 0
@@ -54,10 +54,10 @@
 	}
 }
 
-// One short run over loopback: the site starts, serves, and drains.
+// A short run over loopback: the site starts, serves, and drains.
 func TestRun(t *testing.T) {
 	d, err := New(t.Context(), Options{
-		Length: 300 * time.Millisecond, Load: 0.5, Seed: DefaultSeed,
+		Duration: 300 * time.Millisecond, Load: 0.5, Seed: DefaultSeed,
 		Progress: t.Logf, Log: io.Discard,
 	})
 	if err != nil {
--- a/cmd/internal/demo/doc.go
+++ b/cmd/internal/demo/doc.go
@@ -1,3 +1,3 @@
-// Package demo runs a small site in one process, sends it both users' work as
-// callers would, and checks the promises from what the endpoints saw.
+// Package demo runs a small site in one process, submits the load of both users as
+// callers would, and checks the guarantees against what the endpoints recorded.
 package demo
--- a/cmd/internal/demo/ready.go
+++ b/cmd/internal/demo/ready.go
@@ -10,7 +10,8 @@
 	standin "github.com/papayahoist/papayahoist/platform/standin/endpoint"
 )
 
-// awaitReady returns when a job submitted at each entry has come back.
+// awaitReady returns when each entry has answered a job. It returns ErrStart if
+// one doesn't within readyTimeout.
 func (d *Demo) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -25,7 +26,7 @@
 	for _, address := range d.Callers() {
 		one, err := client.New(client.Options{Addresses: []string{address}})
 		if err != nil {
-			return Start.Wrap(err, "client")
+			return ErrStart.Wrap(err, "client")
 		}
 		for {
 			_, err := one.Submit(ctx, job)
@@ -33,7 +34,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return Start.Wrap(err, "%s did not serve within %s", address, readyTimeout)
+				return ErrStart.Wrap(err, "%s did not serve within %s", address, readyTimeout)
 			}
 			time.Sleep(readyPoll)
 		}
--- a/cmd/internal/demo/report.go
+++ b/cmd/internal/demo/report.go
@@ -13,25 +13,26 @@
 	"github.com/papayahoist/papayahoist/cmd/internal/bench"
 )
 
-// roundTrips is what the ideal response time allows for messages on loopback.
+// roundTrips is the time for messages on loopback in the ideal response time.
 const roundTrips = 2 * time.Millisecond
 
-// Report says what became of the jobs and of the promises.
+// Report holds the outcome of the jobs by contract, and the guarantees' checks.
+// Broken lists violations, up to maxViolations.
 type Report struct {
 	Contracts []Line   `json:"contracts"`
 	Promises  []Tally  `json:"promises"`
 	Broken    []string `json:"broken,omitempty"`
 }
 
-// Line is one contract's outcome. Times are in milliseconds; the ratios are
-// response time over the ideal.
+// Line is the outcome of one contract's jobs. Times are in milliseconds; the ratios
+// are response time over ideal.
 type Line struct {
 	Contract  string  `json:"contract"`
 	Kind      string  `json:"kind"`
 	Jobs      int     `json:"jobs"`
 	Tasks     int     `json:"tasks"`
 	SentTwice int     `json:"sent_twice"`
-	Whole     int     `json:"whole"`
+	Complete  int     `json:"whole"`
 	NotRun    int     `json:"not_run"`
 	Failed    int     `json:"failed"`
 	Unknown   int     `json:"outcome_unknown"`
@@ -41,31 +42,31 @@
 	P99Ratio  float64 `json:"p99_over_ideal"`
 }
 
-// Tally is how often a promise was put to the test, and how often it was broken.
+// Tally counts the checks of a guarantee and the violations found.
 type Tally struct {
 	Promise string `json:"promise"`
 	Checked int    `json:"checked"`
 	Broken  int    `json:"broken"`
 }
 
-// Err is nil when each promise held.
+// Err returns an error for each entry of Broken, joined, or nil if there is none.
 func (r *Report) Err() error {
 	if len(r.Broken) == 0 {
 		return nil
 	}
 	var all []error
 	for _, broken := range r.Broken {
-		all = append(all, Broken.New("%s", broken))
+		all = append(all, ErrPromise.New("%s", broken))
 	}
 	return errors.Join(all...)
 }
 
-// Rows is the report as a table.
+// Rows returns the outcomes by contract as a table with a header.
 func (r *Report) Rows() [][]string {
 	rows := [][]string{{"CONTRACT", "JOBS", "TASKS", "SENT TWICE", "WHOLE", "NOT RUN", "FAILED", "UNKNOWN", "P50", "P99", "P50/IDEAL", "P99/IDEAL"}}
 	for _, l := range r.Contracts {
 		rows = append(rows, []string{
-			l.Contract, strconv.Itoa(l.Jobs), strconv.Itoa(l.Tasks), strconv.Itoa(l.SentTwice), strconv.Itoa(l.Whole),
+			l.Contract, strconv.Itoa(l.Jobs), strconv.Itoa(l.Tasks), strconv.Itoa(l.SentTwice), strconv.Itoa(l.Complete),
 			strconv.Itoa(l.NotRun), strconv.Itoa(l.Failed), strconv.Itoa(l.Unknown),
 			fmt.Sprintf("%.0f ms", l.P50Millis), fmt.Sprintf("%.0f ms", l.P99Millis),
 			fmt.Sprintf("%.2f", l.P50Ratio), fmt.Sprintf("%.2f", l.P99Ratio),
@@ -74,7 +75,7 @@
 	return rows
 }
 
-// PromiseRows is the promises as a table.
+// PromiseRows returns the guarantees as a table with a header.
 func (r *Report) PromiseRows() [][]string {
 	rows := [][]string{{"PROMISE", "CHECKED", "BROKEN"}}
 	for _, t := range r.Promises {
@@ -83,34 +84,35 @@
 	return rows
 }
 
-// outcome is what a run left.
+// outcome is the raw result of a run.
 type outcome struct {
-	// records are of the planned jobs, strangers of those that must be refused.
-	records, strangers []record
-	starts             map[task]int
-	// faults: the run had some, so that an outcome may be unknown.
+	// records are the outcomes of the planned jobs, unknownContract those of the
+	// jobs under an unknown contract.
+	records, unknownContract []record
+	starts                   map[task]int
+	// faults is set if faults were injected; an outcome may be unknown then.
 	faults bool
 }
 
 func newReport(profile bench.Profile, o outcome) *Report {
 	report := &Report{}
 	for i, stream := range profile.Streams {
-		report.Contracts = append(report.Contracts, line(profile, i, stream, o.records))
+		report.Contracts = append(report.Contracts, contractLine(profile, i, stream, o.records))
 	}
 	c := &check{report: report, starts: o.starts}
 	c.startedOnce()
-	c.each("an answer is whole and the job's own", o.records, c.whole)
-	c.each("what was answered has run", o.records, c.ran)
-	c.each(`"not run" is true`, slices.Concat(o.records, o.strangers), c.notRun)
+	c.each("an answer is whole and the job's own", o.records, c.complete)
+	c.each("what was answered has run", o.records, c.allStarted)
+	c.each(`"not run" is true`, slices.Concat(o.records, o.unknownContract), c.notRun)
 	c.each("a job sent twice has one outcome", o.records, c.sameOutcome)
-	c.each("a job without a contract is refused", o.strangers, c.isRefused)
+	c.each("a job without a contract is refused", o.unknownContract, c.isRefused)
 	if !o.faults {
 		c.each("without faults every job is answered", o.records, c.answered)
 	}
 	return report
 }
 
-func line(profile bench.Profile, index int, stream bench.Stream, records []record) Line {
+func contractLine(profile bench.Profile, index int, stream bench.Stream, records []record) Line {
 	l := Line{Contract: stream.Contract.Name, Kind: stream.Kind}
 	var took []time.Duration
 	var ratios []float64
@@ -120,14 +122,14 @@
 		}
 		l.Jobs++
 		l.Tasks += len(r.plan.Tasks)
-		if r.again != nil {
+		if r.duplicate != nil {
 			l.SentTwice++
 		}
 		switch {
 		case r.err == nil:
-			l.Whole++
-			took = append(took, r.took)
-			ratios = append(ratios, float64(r.took)/float64(profile.Ideal(r.plan, roundTrips)))
+			l.Complete++
+			took = append(took, r.elapsed)
+			ratios = append(ratios, float64(r.elapsed)/float64(profile.Ideal(r.plan, roundTrips)))
 		case errorx.IsOfType(r.err, client.NotRun):
 			l.NotRun++
 		case errorx.IsOfType(r.err, client.Failed):
@@ -143,8 +145,8 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// quantile is the least value that a share q of the values doesn't exceed; zero
-// without values.
+// quantile returns the smallest value that at least a fraction q of the values
+// doesn't exceed, or zero if there are no values.
 func quantile[T time.Duration | float64](values []T, q float64) T {
 	if len(values) == 0 {
 		return 0
--- a/cmd/papayahoist/demo.go
+++ b/cmd/papayahoist/demo.go
@@ -21,13 +21,13 @@
 
 func registerDemo(app *kingpin.Application, env *cli.Env) {
 	c := &demoCommand{env: env}
-	command := app.Command("demo", "Run a small site in this process, send it both users' work, and check the promises.")
-	command.Flag("duration", "How long jobs arrive.").Default(demo.DefaultLength.String()).DurationVar(&c.options.Length)
-	command.Flag("load", "Offered task time over what the slots can serve.").Default(fmt.Sprint(demo.DefaultLoad)).Float64Var(&c.options.Load)
-	command.Flag("seed", "Fixes the arrivals.").Default(fmt.Sprint(demo.DefaultSeed)).Uint64Var(&c.options.Seed)
-	command.Flag("faults", "Kill an entry and an agent halfway, and start them again.").BoolVar(&c.options.Faults)
-	command.Flag("keep", "Leave the site serving until interrupted.").BoolVar(&c.keep)
-	command.Flag("listen", "With --keep: where the first entry serves callers.").Default("127.0.0.1:7400").StringVar(&c.listen)
+	command := app.Command("demo", "Run a small site in this process, submit the load of both users, and check the promises.")
+	command.Flag("duration", "How long jobs arrive.").Default(demo.DefaultDuration.String()).DurationVar(&c.options.Duration)
+	command.Flag("load", "Offered task time over the capacity of the slots.").Default(fmt.Sprint(demo.DefaultLoad)).Float64Var(&c.options.Load)
+	command.Flag("seed", "Seed of the arrivals.").Default(fmt.Sprint(demo.DefaultSeed)).Uint64Var(&c.options.Seed)
+	command.Flag("faults", "Kill and restart an entry and an agent halfway through.").BoolVar(&c.options.Faults)
+	command.Flag("keep", "Keep the site running until interrupted.").BoolVar(&c.keep)
+	command.Flag("listen", "With --keep: the address at which the first entry serves callers.").Default("127.0.0.1:7400").StringVar(&c.listen)
 	command.Flag("json", "Print the report as JSON.").BoolVar(&c.json)
 	command.Action(cli.Action(c.run))
 }
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// serve leaves the site running until the command is ended by a signal.
+// serve keeps the site running until the command's context is cancelled.
 func (c *demoCommand) serve(running *demo.Demo) error {
 	end, err := running.Publish(c.listen)
 	if err != nil {
