--- a/cmd/internal/cli/cli.go
+++ b/cmd/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is the frame of the command lines: it runs kingpin commands on
-// given streams, ends them on a signal, and turns errors into exit codes that
-// scripts can rely on.
+// Package cli runs the command lines of both binaries: it runs kingpin commands on
+// the given streams, cancels them on a signal, and maps errors to stable exit codes
+// for scripts.
 package cli
 
 import (
@@ -38,8 +38,7 @@
 started or changed; 4 failed: the job is over without an answer; 5 outcome unknown;
 6 conflict: changed by someone else meanwhile; 7 not found.`
 
-// Env is what commands work on. Registration functions keep it; Context is set
-// when a command runs.
+// Env is the environment of a command. Registration functions may retain it.
 type Env struct {
 	Context  context.Context
 	Out, Err io.Writer
@@ -48,28 +47,30 @@
 // Register adds a command to the application.
 type Register func(app *kingpin.Application, env *Env)
 
-// coded is an error with the exit code that it leads to.
-type coded struct {
+// codedError is an error with its exit code.
+type codedError struct {
 	code Code
 	err  error
 }
 
-func (c *coded) Error() string { return c.err.Error() }
-func (c *coded) Unwrap() error { return c.err }
+func (c *codedError) Error() string { return c.err.Error() }
+func (c *codedError) Unwrap() error { return c.err }
 
-// Fail gives err an exit code; nil stays nil.
+// Fail attaches an exit code to err. It returns nil if err is nil.
 func Fail(code Code, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &coded{code: code, err: err}
+	return &codedError{code: code, err: err}
 }
 
-// exit carries kingpin's request to end the process out of its parser.
-type exit struct{ code int }
+// exitRequest is the panic value that carries kingpin's request to terminate the
+// process out of its parser.
+type exitRequest struct{ code int }
 
-// Main runs the process's own command line and exits. SIGTERM and an interrupt
-// end the command in its regular way; a second signal ends the process at once.
+// Main runs the process's command line and exits. SIGTERM or an interrupt cancels
+// Env.Context for a graceful shutdown; a second signal terminates the process at
+// once.
 func Main(name, help string, commands ...Register) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
@@ -78,22 +79,22 @@
 	os.Exit(int(code))
 }
 
-// Run parses the arguments, runs the command that they name until it ends or
-// ctx does, and returns the exit code. Errors are written to env.Err.
+// Run parses the arguments, runs the command that they name with ctx as its context,
+// and returns the exit code. Errors are written to errOut.
 func Run(ctx context.Context, name, help string, args []string, out, errOut io.Writer, commands ...Register) (code Code) {
 	env := &Env{Context: ctx, Out: out, Err: errOut}
 	app := kingpin.New(name, help+"\n\n"+ExitCodes)
 	app.HelpFlag.Short('h')
 	app.UsageWriter(out)
 	app.ErrorWriter(errOut)
-	app.Terminate(func(code int) { panic(exit{code}) })
+	app.Terminate(func(code int) { panic(exitRequest{code}) })
 	for _, register := range commands {
 		register(app, env)
 	}
 	defer func() {
 		switch caught := recover().(type) {
 		case nil:
-		case exit:
+		case exitRequest:
 			code = Code(caught.code)
 		default:
 			panic(caught)
@@ -107,7 +108,7 @@
 	if err == nil {
 		return CodeDone
 	}
-	var c *coded
+	var c *codedError
 	if !errors.As(err, &c) {
 		fmt.Fprintf(w, "%s: %s, try --help\n", name, err)
 		return CodeUsage
@@ -118,7 +119,7 @@
 	return c.code
 }
 
-// lines lists joined errors one by one.
+// lines returns the messages of err, one for each error joined in it.
 func lines(err error) []string {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
@@ -131,7 +132,7 @@
 	return all
 }
 
-// Message is an error's text without the namespace of its type.
+// Message returns an error's text without the namespace of its type.
 func Message(err error) string {
 	if typed := errorx.Cast(err); typed != nil && typed.Cause() == nil {
 		return typed.Message()
@@ -139,12 +140,12 @@
 	return err.Error()
 }
 
-// Action makes a command's function out of one that returns an error. Errors
-// without an exit code get CodeFailure.
+// Action converts run to a command's action. Errors without an exit code get
+// CodeFailure.
 func Action(run func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		err := run()
-		var c *coded
+		var c *codedError
 		if err == nil || errors.As(err, &c) {
 			return err
 		}
@@ -152,14 +153,14 @@
 	}
 }
 
-// JSON writes v indented, for scripts.
+// JSON writes v to Out as indented JSON.
 func (e *Env) JSON(v any) error {
 	encoder := json.NewEncoder(e.Out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(v)
 }
 
-// Table writes rows of cells in aligned columns.
+// Table writes rows of cells to Out in aligned columns.
 func (e *Env) Table(rows [][]string) error {
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
@@ -174,7 +175,7 @@
 	return w.Flush()
 }
 
-// Progress writes a line about long work to the error stream.
+// Progress writes a progress message to Err, followed by a newline.
 func (e *Env) Progress(format string, args ...any) {
 	fmt.Fprintf(e.Err, format+"\n", args...)
 }
