--- a/cmd/papayahoist/bench.go
+++ b/cmd/papayahoist/bench.go
@@ -33,19 +33,19 @@
 
 func registerBench(app *kingpin.Application, env *cli.Env) {
 	c := &benchCommand{env: env}
-	b := app.Command("bench", "Measure entries, agents and stand-in endpoints in this process under a drawn load.")
-	b.Flag("profile", "Whose site and work: cadwaladr or hilvana.").Default("cadwaladr").StringVar(&c.profile)
+	b := app.Command("bench", "Measure entries, agents and stand-in endpoints in this process under a generated load.")
+	b.Flag("profile", "Profile of the site and its load: cadwaladr or hilvana.").Default("cadwaladr").StringVar(&c.profile)
 	b.Flag("duration", "How long jobs arrive.").Default("10s").DurationVar(&c.duration)
 	b.Flag("load", "Offered task time over the site's capacity.").Default("0.7").Float64Var(&c.load)
-	b.Flag("seed", "Fixes the arrivals.").Default("1").Uint64Var(&c.seed)
+	b.Flag("seed", "Seed of the arrivals.").Default("1").Uint64Var(&c.seed)
 	b.Flag("policy", "How entries choose agents.").Default(bench.PolicyCredits).StringVar(&c.policy)
 	b.Flag("compare", "Comma-separated policies to run one after another on the same arrivals.").StringVar(&c.compare)
-	b.Flag("faults", "What goes wrong: none, all, or a comma-separated list.").Default("none").StringVar(&c.faults)
+	b.Flag("faults", "Faults to inject: none, all, or a comma-separated list.").Default("none").StringVar(&c.faults)
 	b.Flag("noisy", "Contract that offers ten times its contracted share.").StringVar(&c.noisy)
-	b.Flag("preset", "What the site weighs more: response or messages; empty: the profile's own.").StringVar(&c.preset)
+	b.Flag("preset", "What to optimize for: response or messages; empty: the profile's preset.").StringVar(&c.preset)
 	b.Flag("json", "Print the reports as JSON, one after another.").BoolVar(&c.json)
 	b.Flag("plot", "Write an SVG plot of the response times to this file.").StringVar(&c.plot)
-	b.Flag("verbose", "Log what the processes log.").BoolVar(&c.verbose)
+	b.Flag("verbose", "Print the processes' logs.").BoolVar(&c.verbose)
 	b.Action(cli.Action(c.run))
 }
 
--- a/cmd/papayahoist/contract.go
+++ b/cmd/papayahoist/contract.go
@@ -39,7 +39,7 @@
 func (c *contractCommand) registerReading(command *kingpin.CmdClause) {
 	command.Command("list", "List all contracts.").Action(cli.Action(c.list))
 
-	get := command.Command("get", "Print a contract as JSON, which apply takes back.")
+	get := command.Command("get", "Print a contract as JSON, in the form that apply reads.")
 	get.Arg("name", "The contract.").Required().StringVar(&c.name)
 	get.Action(cli.Action(c.get))
 
@@ -55,11 +55,11 @@
 func (c *contractCommand) registerChanging(command *kingpin.CmdClause) {
 	apply := command.Command("apply", "Create a contract, or change it from the revision that the file names.")
 	apply.Arg("file", `JSON with comments; "contract get" prints one to start from.`).Required().StringVar(&c.file)
-	apply.Flag("rebase", "Put the change on top of those that others made since the file's revision.").BoolVar(&c.rebase)
+	apply.Flag("rebase", "Apply the change on top of the changes made since the file's revision.").BoolVar(&c.rebase)
 	c.registerChange(apply)
 	apply.Action(cli.Action(c.apply))
 
-	rollback := command.Command("rollback", "Bring back the terms of an earlier revision, as a new one.")
+	rollback := command.Command("rollback", "Restore the terms of an earlier revision as a new revision.")
 	rollback.Arg("name", "The contract.").Required().StringVar(&c.name)
 	rollback.Arg("revision", "The earlier revision, from history.").Required().Uint64Var(&c.revision)
 	c.registerChange(rollback)
@@ -72,10 +72,10 @@
 }
 
 func (c *contractCommand) registerChange(command *kingpin.CmdClause) {
-	command.Flag("change-id", "Identifies the change. Repeat the command with the id it printed when its outcome was not known: nothing is changed twice.").
+	command.Flag("change-id", "Identifies the change. If the outcome of a change is not known, repeat the command with the id that it printed; the change is applied at most once.").
 		StringVar(&c.changeID)
 	command.Flag("by", "Who makes the change, for the history.").Envar("USER").Required().StringVar(&c.by)
-	command.Flag("wait", "Wait up to this long until the change is in force on every process that can be reached.").
+	command.Flag("wait", "Maximum wait until the change is in force on every process that can be reached.").
 		Default("0s").DurationVar(&c.wait)
 	c.fleet.register(command)
 }
@@ -84,7 +84,7 @@
 	return config.NewEditor(etcdv3.New(c.store, etcdv3.Options{}), config.EditorOptions{})
 }
 
-// newChangeID returns the change id asked for, or a new one.
+// newChangeID returns the change ID given by the flag, or generates one.
 func (c *contractCommand) newChangeID() string {
 	c.changeID = cmp.Or(c.changeID, rand.Text())
 	return c.changeID
--- a/cmd/papayahoist/contract_change.go
+++ b/cmd/papayahoist/contract_change.go
@@ -23,11 +23,12 @@
 	return c.change(wanted, c.rebase)
 }
 
-// remove deletes what the contract is now: a change made meanwhile is a conflict.
+// remove deletes the contract at its current revision. A concurrent change is a
+// conflict.
 func (c *contractCommand) remove() error {
 	held, err := c.editor().Get(c.env.Context, c.name)
 	if err != nil {
-		return contractFailure(err)
+		return contractError(err)
 	}
 	return c.change(&pb.Contract{Name: held.Name, Revision: held.Revision, Deleted: true}, false)
 }
@@ -44,7 +45,7 @@
 	return c.report(c.name, revision, err)
 }
 
-// applied is what a change prints with --json.
+// applied is the output of a change with --json.
 type applied struct {
 	Contract string   `json:"contract"`
 	Revision uint64   `json:"revision"`
@@ -56,16 +57,16 @@
 func (c *contractCommand) report(name string, revision uint64, err error) error {
 	if err != nil {
 		if errorx.IsOfType(err, config.ErrNotKnown) {
-			c.env.Progress("repeat the command with --change-id %s to find out; nothing is changed twice", c.changeID)
+			c.env.Progress("repeat the command with --change-id %s to find out; the change is applied at most once", c.changeID)
 		}
-		return contractFailure(err)
+		return contractError(err)
 	}
 	result := applied{Contract: name, Revision: revision, ChangeID: c.changeID}
 	if !c.json {
 		fmt.Fprintf(c.env.Out, "contract %s is at revision %d (change %s)\n", name, revision, c.changeID)
 	}
 	if c.wait > 0 {
-		if result.Missing, err = c.awaitForce(revision); err != nil {
+		if result.Missing, err = c.awaitInForce(revision); err != nil {
 			return err
 		}
 		result.InForce = len(result.Missing) == 0
@@ -84,12 +85,13 @@
 	return nil
 }
 
-// forcePoll is how often processes are asked while a change comes into force.
-const forcePoll = 100 * time.Millisecond
+// inForcePollInterval is the interval at which processes are queried until a change
+// is in force.
+const inForcePollInterval = 100 * time.Millisecond
 
-// awaitForce waits until every process holds the revision, and names those that
-// don't or can't be reached when the time is up.
-func (c *contractCommand) awaitForce(revision uint64) ([]string, error) {
+// awaitInForce waits until the revision is in force on every process. After the time
+// limit it returns the processes that don't have it or don't answer.
+func (c *contractCommand) awaitInForce(revision uint64) ([]string, error) {
 	options, err := c.fleet.options()
 	if err != nil {
 		return nil, err
@@ -98,22 +100,23 @@
 	for {
 		found, err := fleet.Discover(c.env.Context, options)
 		if err != nil {
-			return nil, fmt.Errorf("applied, but nobody says whether it is in force: %w", err)
+			return nil, fmt.Errorf("applied, but no process answers whether it is in force: %w", err)
 		}
-		missing := behind(found, revision)
+		missing := processesBehind(found, revision)
 		if len(missing) == 0 || time.Now().After(limit) {
 			return missing, nil
 		}
 		select {
 		case <-c.env.Context.Done():
 			return missing, nil
-		case <-time.After(forcePoll):
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
 
-// behind names the processes that are not known to hold the revision.
-func behind(found *fleet.Fleet, revision uint64) []string {
+// processesBehind returns the processes that are not known to have the revision in
+// force.
+func processesBehind(found *fleet.Fleet, revision uint64) []string {
 	var missing []string
 	for _, failure := range found.Failures {
 		missing = append(missing, fmt.Sprintf("%s (%s)", failure.Process.Title(), failure.Reason()))
@@ -129,7 +132,8 @@
 		}
 	}
 	for name, holds := range agents {
-		// Agents that hold no contracts take them from entries with each task.
+		// Revision zero: the agent holds no contracts, and receives them from the
+		// entries with each task.
 		if holds > 0 && holds < revision {
 			missing = append(missing, name)
 		}
@@ -137,14 +141,14 @@
 	return missing
 }
 
-// contractFailure gives an editor's error its exit code and the details that an
-// operator needs.
-func contractFailure(err error) error {
+// contractError attaches to an editor's error its exit code, and to a conflict the
+// concurrent changes.
+func contractError(err error) error {
 	switch {
 	case errorx.IsOfType(err, contract.ErrInvalid):
 		return cli.Fail(cli.CodeUsage, err)
 	case errorx.IsOfType(err, contract.ErrConflict):
-		return cli.Fail(cli.CodeConflict, conflict(err))
+		return cli.Fail(cli.CodeConflict, withConflictingChanges(err))
 	case errorx.IsOfType(err, contract.ErrNotFound):
 		return cli.Fail(cli.CodeNotFound, err)
 	case errorx.IsOfType(err, config.ErrNotKnown):
@@ -156,8 +160,8 @@
 	}
 }
 
-// conflict lists what others changed meanwhile.
-func conflict(err error) error {
+// withConflictingChanges joins to err the changes made since the expected revision.
+func withConflictingChanges(err error) error {
 	all := []error{err}
 	for _, change := range contract.Changes(err) {
 		all = append(all, fmt.Errorf("changed since: %s", change))
--- a/cmd/papayahoist/contract_read.go
+++ b/cmd/papayahoist/contract_read.go
@@ -19,7 +19,7 @@
 func (c *contractCommand) list() error {
 	contracts, broken, _, err := c.editor().List(c.env.Context)
 	if err != nil {
-		return contractFailure(err)
+		return contractError(err)
 	}
 	for _, err := range broken {
 		c.env.Progress("unreadable: %s", cli.Message(err))
@@ -46,7 +46,7 @@
 func (c *contractCommand) get() error {
 	one, err := c.editor().Get(c.env.Context, c.name)
 	if err != nil {
-		return contractFailure(err)
+		return contractError(err)
 	}
 	return c.printOne(one)
 }
@@ -58,7 +58,7 @@
 	}
 	changes, err := c.editor().Diff(c.env.Context, wanted)
 	if err != nil {
-		return contractFailure(err)
+		return contractError(err)
 	}
 	if c.json {
 		return c.env.JSON(changes)
@@ -75,7 +75,7 @@
 func (c *contractCommand) history() error {
 	revisions, err := c.editor().History(c.env.Context, c.name)
 	if err != nil {
-		return contractFailure(err)
+		return contractError(err)
 	}
 	if c.json {
 		return c.printJSON(revisions...)
@@ -84,14 +84,15 @@
 	for i, one := range revisions {
 		rows = append(rows, []string{
 			strconv.FormatUint(one.Revision, 10), time.UnixMilli(one.ChangedUnixMs).UTC().Format(time.RFC3339),
-			one.ChangedBy, one.ChangeId, whatChanged(revisions, i),
+			one.ChangedBy, one.ChangeId, changesOf(revisions, i),
 		})
 	}
 	return c.env.Table(rows)
 }
 
-// whatChanged compares a revision with the one before it; newest are first.
-func whatChanged(revisions []*pb.Contract, i int) string {
+// changesOf describes the difference of revision i to the one before it. The
+// revisions are ordered from newest to oldest.
+func changesOf(revisions []*pb.Contract, i int) string {
 	switch {
 	case revisions[i].Deleted:
 		return "deleted"
@@ -105,13 +106,13 @@
 	return strings.Join(all, ", ")
 }
 
-// readContract reads one contract in JSON with comments.
+// readContract reads a contract from a file in JSON with comments.
 func readContract(file string) (*pb.Contract, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, cli.Fail(cli.CodeUsage, err)
 	}
-	// Comments become spaces, so that lines stay what they were.
+	// Comments become spaces, so that line numbers in errors stay correct.
 	standard, err := hujson.Standardize(text)
 	if err != nil {
 		return nil, cli.Fail(cli.CodeUsage, fmt.Errorf("%s: %w", file, err))
@@ -139,7 +140,7 @@
 	return err
 }
 
-// editable leaves out what belongs to the last change and not to the terms.
+// editable returns a copy without the metadata of the last change.
 func editable(one *pb.Contract) *pb.Contract {
 	terms := proto.CloneOf(one)
 	terms.ChangeId, terms.ChangedBy, terms.ChangedUnixMs = "", "", 0
--- a/cmd/papayahoist/contract_test.go
+++ b/cmd/papayahoist/contract_test.go
@@ -12,7 +12,7 @@
 	"github.com/papayahoist/papayahoist/platform/standin/kv"
 )
 
-// operator runs commands against one stand-in store.
+// operator runs commands against a stand-in store.
 type operator struct {
 	t     *testing.T
 	store *kv.Server
@@ -90,21 +90,21 @@
 	o.contains(o.run(cli.CodeDone, "list"), "break-reports", "32.0 GiB", "20s")
 }
 
-// Two operators start from the same revision. The second must not overwrite the
-// first's change without knowing of it.
+// Two operators edit the same revision. The second must get a conflict instead of
+// overwriting the first one's change.
 func TestContractRace(t *testing.T) {
 	o := newOperator(t)
 	o.run(cli.CodeDone, "apply", o.file("a.json", terms))
 	held := o.run(cli.CodeDone, "get", "break-reports")
 	o.run(cli.CodeDone, "apply", o.file("b.json", strings.Replace(held, "500", "900", 1)))
-	late := o.file("c.json", strings.Replace(held, "40", "44", 1))
-	o.contains(o.run(cli.CodeConflict, "apply", late), "changed since", "waiting", "900")
-	o.run(cli.CodeDone, "apply", "--rebase", late)
+	concurrent := o.file("c.json", strings.Replace(held, "40", "44", 1))
+	o.contains(o.run(cli.CodeConflict, "apply", concurrent), "changed since", "waiting", "900")
+	o.run(cli.CodeDone, "apply", "--rebase", concurrent)
 	o.contains(o.run(cli.CodeDone, "get", "break-reports"), "44", "900")
 }
 
-// The store's answer to a write is lost, or the store is down. The operator must
-// be told truthfully what is known, by exit code too.
+// The store's response to a write is lost, or the store is down. The message and the
+// exit code must state correctly whether the change was made.
 func TestContractStoreFaults(t *testing.T) {
 	o := newOperator(t)
 	file := o.file("a.json", terms)
--- a/cmd/papayahoist/fleet.go
+++ b/cmd/papayahoist/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/papayahoist/papayahoist/node/settings"
 )
 
-// fleetFlags are the flags of commands that ask the processes themselves.
+// fleetFlags holds the flags of commands that query the processes.
 type fleetFlags struct {
 	addresses []string
 	timeout   time.Duration
@@ -21,9 +21,9 @@
 func (f *fleetFlags) register(command *kingpin.CmdClause) {
 	command.Flag("operators", `Operators' port of any live process, "ip:port"; may be repeated. The others are found through it.`).
 		Default("127.0.0.1:7402").Envar("PAPAYAHOIST_OPERATORS").StringsVar(&f.addresses)
-	command.Flag("timeout", "Longest wait for one process.").
+	command.Flag("timeout", "Timeout for each request to a process.").
 		Default(fleet.DefaultTimeout.String()).DurationVar(&f.timeout)
-	command.Flag("tls-ca", "CA file of the operators' ports; without TLS files they are asked over plain TCP.").StringVar(&f.tls.CA)
+	command.Flag("tls-ca", "CA file of the operators' ports; without TLS files they are queried over plain TCP.").StringVar(&f.tls.CA)
 	command.Flag("tls-cert", "Certificate file to show to the operators' ports.").StringVar(&f.tls.Cert)
 	command.Flag("tls-key", "Private key file of the certificate.").StringVar(&f.tls.Key)
 }
--- a/cmd/papayahoist/fleet_test.go
+++ b/cmd/papayahoist/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/papayahoist/papayahoist/cmd/internal/site"
 )
 
-func TestTimelineAndStatusOfALiveSite(t *testing.T) {
+func TestTimelineAndStatusOfLiveSite(t *testing.T) {
 	s, err := site.Start(site.Options{
 		Entries: 2, Workers: 1, WorkersPerRack: 1, FailureDomains: []string{"frame-hall"}, Slots: 2, Cores: 4,
 		Connections: 4, MemoryBytes: 1 << 30, DrainTimeout: time.Second, Logger: slog.New(slog.DiscardHandler),
@@ -24,7 +24,7 @@
 	t.Cleanup(s.Stop)
 	for limit := time.Now().Add(20 * time.Second); !s.Linked(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("the agent got no links")
+			t.Fatal("timed out waiting for the agent to be linked")
 		}
 	}
 	page := filepath.Join(t.TempDir(), "timeline.html")
--- a/cmd/papayahoist/job.go
+++ b/cmd/papayahoist/job.go
@@ -53,11 +53,11 @@
 	submit.Flag("kind", "Kind of the tasks; sizes are learned per kind.").Required().StringVar(&c.kind)
 	submit.Flag("payload", "Payload of one task; may be repeated.").StringsVar(&c.payloads)
 	submit.Flag("payload-file", "File with the payload of one task; may be repeated.").StringsVar(&c.files)
-	submit.Flag("repeat", "How often to take each payload, as a task of its own.").Default("1").IntVar(&c.repeat)
-	submit.Flag("timeout", "Ends the job, and the wait for it, when it passes; 0 takes the contract's default.").Default("30s").DurationVar(&c.timeout)
-	submit.Flag("memory-bytes", "Memory a task is thought to need.").Uint64Var(&c.memory)
-	submit.Flag("cpu-millis", "Thousandths of a core a task is thought to need.").Uint32Var(&c.cpu)
-	submit.Flag("run-ms", "Time a task is thought to run.").Uint32Var(&c.run)
+	submit.Flag("repeat", "Number of tasks for each payload.").Default("1").IntVar(&c.repeat)
+	submit.Flag("timeout", "Timeout of the job, and of the wait for it; 0 means the contract's default.").Default("30s").DurationVar(&c.timeout)
+	submit.Flag("memory-bytes", "Expected memory of a task, in bytes.").Uint64Var(&c.memory)
+	submit.Flag("cpu-millis", "Expected CPU of a task, in thousandths of a core.").Uint32Var(&c.cpu)
+	submit.Flag("run-ms", "Expected run time of a task, in milliseconds.").Uint32Var(&c.run)
 	submit.Flag("id", "Job id from an earlier submission, to send that job again.").StringVar(&c.id)
 	submit.Flag("first-sent", `With an id that is a key of your own: when it was first sent, such as "2026-03-01T03:12:00Z"; the same each time.`).
 		StringVar(&c.firstSent)
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// fail gives a client's error the exit code of its outcome. With --json scripts
-// get the same on the output as they would from an entry.
+// fail attaches to a client's error the exit code of its outcome. With --json, it
+// writes the same error object to the output as an entry returns.
 func (c *jobCommand) fail(err error) error {
 	code, outcome := codeOf(err)
 	if c.json {
@@ -226,7 +226,7 @@
 	rows := [][]string{{"TASK", "RUN", "RESULT"}}
 	for _, result := range answer.Results {
 		run := time.Duration(result.RunMillis) * time.Millisecond
-		rows = append(rows, []string{strconv.FormatUint(uint64(result.Task), 10), run.String(), show(result.Body)})
+		rows = append(rows, []string{strconv.FormatUint(uint64(result.Task), 10), run.String(), formatBody(result.Body)})
 	}
 	if _, err := fmt.Fprintf(c.env.Out, "job %s is complete\n", answer.ID); err != nil {
 		return err
@@ -234,8 +234,9 @@
 	return c.env.Table(rows)
 }
 
-// show prints a result's body on one line: as text where it is text.
-func show(body []byte) string {
+// formatBody formats a result's body as one line of limited length: as text if it is
+// valid UTF-8, otherwise in base64.
+func formatBody(body []byte) string {
 	const most = 60
 	text := string(body)
 	if !utf8.Valid(body) {
--- a/cmd/papayahoist/main.go
+++ b/cmd/papayahoist/main.go
@@ -1,5 +1,5 @@
-// Command papayahoist is for operators and callers: it changes contracts,
-// submits jobs, and shows what the system does.
+// Command papayahoist is the tool for operators and callers: it changes contracts,
+// submits jobs, and shows the state and events of the system.
 package main
 
 import "github.com/papayahoist/papayahoist/cmd/internal/cli"
@@ -8,8 +8,7 @@
 
 func main() { cli.Main("papayahoist", help, commands...) }
 
-// commands are the subcommands, each in a file of its own, in the order of the
-// help.
+// commands lists the subcommands in the order of the help.
 var commands = []cli.Register{
 	registerContract,
 	registerJob,
--- a/cmd/papayahoist/soak.go
+++ b/cmd/papayahoist/soak.go
@@ -28,15 +28,15 @@
 func registerSoak(app *kingpin.Application, env *cli.Env) {
 	c := &soakCommand{env: env}
 	command := app.Command("soak", "Run entries and agents as processes, inject faults on a seed's schedule, and check the promises.")
-	command.Flag("seed", "Fixes the schedule and the jobs.").Default("1").Uint64Var(&c.seed)
-	command.Flag("duration", "How long it plays.").Default("1m").DurationVar(&c.duration)
-	command.Flag("size", "Of the site.").Default("usual").EnumVar(&c.size, "small", "usual", "fleet", "large")
+	command.Flag("seed", "Seed of the schedule and the jobs.").Default("1").Uint64Var(&c.seed)
+	command.Flag("duration", "Duration of the schedule.").Default("1m").DurationVar(&c.duration)
+	command.Flag("size", "Size of the site.").Default("usual").EnumVar(&c.size, "small", "usual", "fleet", "large")
 	command.Flag("daemon", "The program papayahoistd; default: beside this program.").StringVar(&c.daemon)
-	command.Flag("keep", "Folder for schedule, settings, logs and report; default: one that is removed when all went well.").StringVar(&c.keep)
-	command.Flag("replay", "Play the schedule in this folder again.").StringVar(&c.replay)
-	command.Flag("untimed", "Leave out the promises with a time bound, on a machine that is busy.").BoolVar(&c.untimed)
+	command.Flag("keep", "Folder for schedule, settings, logs and report; default: a temporary folder, removed if the run succeeds.").StringVar(&c.keep)
+	command.Flag("replay", "Replay the schedule in this folder.").StringVar(&c.replay)
+	command.Flag("untimed", "Skip the promises with a time bound, for use on a busy machine.").BoolVar(&c.untimed)
 	command.Flag("json", "Print the report as JSON.").BoolVar(&c.json)
-	command.Flag("verbose", "Tell of each action.").BoolVar(&c.verbose)
+	command.Flag("verbose", "Print each action.").BoolVar(&c.verbose)
 	command.Action(cli.Action(c.run))
 }
 
@@ -68,7 +68,7 @@
 		return err
 	}
 	if err := report.Err(); err != nil {
-		c.env.Progress("kept in %s; play it again with --replay", dir)
+		c.env.Progress("kept in %s; replay it with --replay", dir)
 		return err
 	}
 	return remove()
@@ -85,7 +85,8 @@
 	return soak.Plan(c.seed, c.duration, size)
 }
 
-// folder is where the run is kept; remove does so only for one of its own.
+// folder returns the folder of the run's files. The returned remove deletes it if it
+// is temporary, and does nothing if it was given by --keep.
 func (c *soakCommand) folder() (dir string, remove func() error, err error) {
 	if c.keep != "" {
 		return c.keep, func() error { return nil }, os.MkdirAll(c.keep, 0o700)
--- a/cmd/papayahoist/status.go
+++ b/cmd/papayahoist/status.go
@@ -20,9 +20,9 @@
 
 func registerStatus(app *kingpin.Application, env *cli.Env) {
 	c := &statusCommand{env: env}
-	command := app.Command("status", "Show on one screen what is wrong, who is alive, and the contracts against their limits.")
+	command := app.Command("status", "Show on one screen the alarms, the live processes, and the contracts against their limits.")
 	c.fleet.register(command)
-	command.Flag("interval", "Time between the two readings behind the rates; 0 reads once.").
+	command.Flag("interval", "Time between the two samples for the rates; 0 takes one sample.").
 		Default("1s").DurationVar(&c.interval)
 	command.Flag("json", `Same as "--format json".`).BoolVar(&c.json)
 	command.Flag("format", "text or json.").Default(formatText).EnumVar(&c.format, formatText, formatJSON)
--- a/cmd/papayahoist/timeline.go
+++ b/cmd/papayahoist/timeline.go
@@ -27,7 +27,7 @@
 	env    *cli.Env
 	fleet  fleetFlags
 	filter timeline.Filter
-	// from and until are times, or durations before now.
+	// from and until are in the form that parseTime reads.
 	from, until string
 	format      string
 	json        bool
@@ -38,24 +38,24 @@
 
 func registerTimeline(app *kingpin.Application, env *cli.Env) {
 	c := &timelineCommand{env: env}
-	command := app.Command("timeline", "Show what all processes did, in the order of cause and effect.")
+	command := app.Command("timeline", "Show the events of all processes, in causal order.")
 	c.fleet.register(command)
 	command.Flag("job", "Only this job's events.").StringVar(&c.filter.Job)
 	command.Flag("contract", "Only this contract's events.").StringVar(&c.filter.Contract)
 	command.Flag("worker", "Only events of this worker, or about it.").StringVar(&c.filter.Worker)
 	command.Flag("from", `Only events from this time on: "2026-03-01T03:12:00Z", or "5m" for five minutes ago.`).StringVar(&c.from)
 	command.Flag("until", "Only events before this time, in the same forms.").StringVar(&c.until)
-	command.Flag("limit", "The most events to show; the newest are kept.").
+	command.Flag("limit", "Maximum number of events to show; the newest are kept.").
 		Default(strconv.Itoa(timeline.DefaultLimit)).IntVar(&c.filter.Limit)
-	command.Flag("around", "With --job: also what happened meanwhile to the processes that the job met.").
+	command.Flag("around", "With --job: also the concurrent events of the processes involved in the job.").
 		Default("true").BoolVar(&c.filter.Around)
 	command.Flag("json", `Same as "--format json".`).BoolVar(&c.json)
 	command.Flag("format", "text, json, or html: one self-contained page.").Default(formatText).
 		EnumVar(&c.format, formatText, formatJSON, formatHTML)
-	command.Flag("logs", `Read processes' logs from this file in place of asking them; "-" is the standard input. May be repeated.`).
+	command.Flag("logs", `Read processes' logs from this file instead of querying the processes; "-" is the standard input. May be repeated.`).
 		StringsVar(&c.logs)
 	command.Flag("losses", "With --logs: how many jobs were not completed within their objective, by reason, queue and second.").BoolVar(&c.losses)
-	command.Flag("output", "File to write to instead of the output.").Short('o').StringVar(&c.output)
+	command.Flag("output", "File to write to instead of the standard output.").Short('o').StringVar(&c.output)
 	command.Action(cli.Action(c.run))
 }
 
@@ -86,7 +86,7 @@
 		return err
 	}
 	if err := c.write(file, collected); err != nil {
-		_ = file.Close() // the first error tells more
+		_ = file.Close() // the write error is the cause
 		return err
 	}
 	c.env.Progress("%d events of %d processes, %d missing, in %s",
@@ -94,7 +94,7 @@
 	return file.Close()
 }
 
-// collect asks the processes, or reads their logs.
+// collect queries the processes, or reads their logs if --logs is given.
 func (c *timelineCommand) collect() (*timeline.Timeline, error) {
 	if len(c.logs) > 0 {
 		return c.readLogs()
@@ -119,13 +119,14 @@
 	return timeline.ReadLogs(readers, c.filter)
 }
 
-// openLogs opens the files of --logs; done closes them.
+// openLogs opens the files of --logs. The returned done closes them; it is never nil,
+// also on an error.
 func (c *timelineCommand) openLogs() (readers map[string]io.Reader, done func(), err error) {
 	readers = make(map[string]io.Reader)
 	var files []*os.File
 	done = func() {
 		for _, f := range files {
-			_ = f.Close() // it was only read
+			_ = f.Close() // opened for reading only
 		}
 	}
 	for _, name := range c.logs {
@@ -172,7 +173,8 @@
 	return timeline.WriteText(w, t)
 }
 
-// parseTime reads a time, or a duration before now. Empty: the zero time.
+// parseTime parses a time in RFC 3339, or a duration before now. An empty text is the
+// zero time.
 func parseTime(text string, now time.Time) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
