--- a/cmd/papayahoistd/leased.go
+++ b/cmd/papayahoistd/leased.go
@@ -53,16 +53,16 @@
 		Required().Envar("PAPAYAHOIST_NODE_FILE").String()
 }
 
-// reloadEvery is how often the settings file is looked at for a change of which no
-// signal tells.
-const reloadEvery = 2 * time.Second
+// reloadInterval is the interval at which the settings file is checked for changes
+// that aren't announced by a signal.
+const reloadInterval = 2 * time.Second
 
-// reload takes in a changed settings file, at SIGHUP or without it. A file that
-// can't be read or checked changes nothing.
+// reload applies the settings file at SIGHUP and whenever its modification time
+// changes, until ctx is cancelled. A file that can't be read or is invalid is ignored.
 func reload[T any](ctx context.Context, file string, load func(string) (*T, error), take func(T)) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	t := time.NewTicker(reloadEvery)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
 	last := modified(file)
 	for {
--- a/cmd/papayahoistd/main.go
+++ b/cmd/papayahoistd/main.go
@@ -11,7 +11,7 @@
 	"github.com/papayahoist/papayahoist/node/settings"
 )
 
-const help = "Run one process of papayahoist: an entry or an agent.\n\nSIGTERM drains the process: it takes no new work, ends what it has, and exits 0."
+const help = "Run one process of papayahoist: an entry or an agent.\n\nSIGTERM drains the process: it accepts no new work, finishes the work it has, and exits 0."
 
 func main() { cli.Main("papayahoistd", help, commands...) }
 
--- a/cmd/papayahoistd/main_test.go
+++ b/cmd/papayahoistd/main_test.go
@@ -13,8 +13,8 @@
 	"github.com/papayahoist/papayahoist/cmd/internal/cli"
 )
 
-// An operator mistypes a key on the third line. The process must not start with
-// a default in its place, so "check" names the key and the line and fails.
+// A misspelled key must not be silently replaced by a default: "check" must fail and
+// name the key and the line.
 func TestCheckNamesKeyAndLine(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "entry.json")
 	text := "{\n  \"role\": \"entry\",\n  \"nmae\": \"entry-1\",\n}\n"
@@ -60,9 +60,8 @@
 	}`
 )
 
-// The platform replaces a process and sends it SIGTERM. Whatever the process
-// can't reach at that time, it must drain and exit 0: anything else is counted as
-// a crash, and pages somebody.
+// On SIGTERM the process must drain and exit 0, even if it can't reach the store, its
+// endpoint or other processes: the platform counts any other exit code as a crash.
 func TestTerminatedProcessExitsWithZero(t *testing.T) {
 	for role, text := range map[string]string{"entry": entrySettings, "agent": agentSettings} {
 		t.Run(role, func(t *testing.T) {
@@ -92,7 +91,7 @@
 	}
 }
 
-// The same process must not start with settings for the other role.
+// A process must not start with the settings of the other role.
 func TestWrongRoleIsRefused(t *testing.T) {
 	var out, errOut bytes.Buffer
 	args := []string{"agent", "--settings", "../../docs/operators/entry.json"}
--- a/cmd/papayahoistd/serve.go
+++ b/cmd/papayahoistd/serve.go
@@ -57,7 +57,8 @@
 	return agent.Run(env.Context)
 }
 
-// logger writes lines as the settings say; package process bounds their rate.
+// logger returns a logger to w with the given format and level. Package process
+// limits its rate.
 func logger(w io.Writer, format string, level slog.Level) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	var handler slog.Handler = slog.NewJSONHandler(w, options)
@@ -67,7 +68,7 @@
 	return slog.New(handler)
 }
 
-// version is the module version that this binary was built from.
+// version returns the version of the module that this binary was built from.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
