--- a/client/client.go
+++ b/client/client.go
@@ -17,8 +17,8 @@
 
 // Defaults of Options.
 const (
-	DefaultWait            = 2 * time.Second
-	DefaultResponseTimeout = time.Second
+	DefaultWait    = 2 * time.Second
+	DefaultSilence = time.Second
 )
 
 const (
@@ -42,10 +42,10 @@
 	// Wait is how long the entry may hold one request until the answer is there.
 	// Zero means DefaultWait; the maximum is jobs.MaxWait.
 	Wait time.Duration
-	// ResponseTimeout is how long beyond Wait a response may take before the
+	// Silence is how long beyond Wait a response may take before the
 	// request is abandoned and sent on a new connection. Zero means
 	// DefaultResponseTimeout.
-	ResponseTimeout time.Duration
+	Silence time.Duration
 }
 
 // Client submits jobs.
@@ -79,7 +79,7 @@
 		http:            options.HTTPClient,
 		token:           options.Token,
 		wait:            options.Wait,
-		responseTimeout: options.ResponseTimeout,
+		responseTimeout: options.Silence,
 		budget:          newBudget(time.Now()),
 	}
 	for _, address := range options.Addresses {
@@ -89,7 +89,7 @@
 		c.http = defaultHTTPClient()
 	}
 	c.wait = cmp.Or(c.wait, DefaultWait)
-	c.responseTimeout = cmp.Or(c.responseTimeout, DefaultResponseTimeout)
+	c.responseTimeout = cmp.Or(c.responseTimeout, DefaultSilence)
 	return c, nil
 }
 
@@ -106,8 +106,8 @@
 	if o.Wait < 0 || o.Wait > jobs.MaxWait {
 		return Misuse.New("wait %s: want 0 to %s", o.Wait, jobs.MaxWait)
 	}
-	if o.ResponseTimeout < 0 {
-		return Misuse.New("response timeout %s: want 0 or more", o.ResponseTimeout)
+	if o.Silence < 0 {
+		return Misuse.New("response timeout %s: want 0 or more", o.Silence)
 	}
 	return nil
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -184,7 +184,7 @@
 		{"no fault", []handler{respondComplete(0, 1)}, 1, 0, 0},
 		{"results out of order", []handler{respondComplete(1, 0)}, 1, 0, 0},
 		{"answer lost", []handler{connectionReset, respondComplete(0, 1)}, 2, 0, backoffBase},
-		{"connection silent", []handler{noResponse, respondComplete(0, 1)}, 2, DefaultWait + DefaultResponseTimeout, DefaultWait + DefaultResponseTimeout + backoffBase},
+		{"connection silent", []handler{noResponse, respondComplete(0, 1)}, 2, DefaultWait + DefaultSilence, DefaultWait + DefaultSilence + backoffBase},
 		{"body cut", []handler{truncated, respondComplete(0, 1)}, 2, 0, backoffBase},
 		{"result missing", []handler{respondComplete(0), respondComplete(0, 1)}, 2, 0, backoffBase},
 		{"result twice", []handler{respondComplete(0, 0), respondComplete(0, 1)}, 2, 0, backoffBase},
@@ -194,7 +194,7 @@
 		{"home changed after a lost answer", []handler{connectionReset, fromOtherHome(connectionReset), fromOtherHome(respondComplete(0, 1))}, 3, 0, 3 * backoffBase},
 		{"home unreachable for a while", []handler{respondError(503, refusedWithoutProof), respondComplete(0, 1)}, 2, 100 * time.Millisecond, 150 * time.Millisecond},
 		{"long job", []handler{respondRunning, respondRunning, respondComplete(0, 1)}, 3, 2 * DefaultWait, 2 * DefaultWait},
-		{"long job, then silence", []handler{respondRunning, noResponse, respondComplete(0, 1)}, 3, 2*DefaultWait + DefaultResponseTimeout, 2*DefaultWait + DefaultResponseTimeout + backoffBase},
+		{"long job, then silence", []handler{respondRunning, noResponse, respondComplete(0, 1)}, 3, 2*DefaultWait + DefaultSilence, 2*DefaultWait + DefaultSilence + backoffBase},
 		{"accepted, then its home lost", []handler{respondRunning, respondError(502, homeUnresponsive), requirePost(respondComplete(0, 1))}, 3, DefaultWait + 100*time.Millisecond, DefaultWait + 150*time.Millisecond},
 		{"accepted, then forgotten", []handler{respondRunning, respondError(404, jobs.Error{Code: jobs.CodeNotFound}), respondComplete(0, 1)}, 3, DefaultWait, DefaultWait + backoffBase},
 	}
@@ -337,7 +337,7 @@
 			if answer != nil || !errorx.IsOfType(err, test.kind) || CodeOf(err) != test.code {
 				t.Errorf("answer %v, error %v, code %q; want %s, code %q", answer, err, CodeOf(err), test.kind, test.code)
 			}
-			if took > 5*time.Second+DefaultResponseTimeout {
+			if took > 5*time.Second+DefaultSilence {
 				t.Errorf("took %s, past the deadline", took)
 			}
 			if JobOf(err) == "" {
@@ -422,7 +422,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeEntries{start: time.Now(), home: "home-1", handlers: []handler{test.handler}}
-				c, err := New(Options{Addresses: []string{"http://10.0.0.1:1"}, HTTPClient: &http.Client{Transport: f}, ResponseTimeout: 3 * time.Second})
+				c, err := New(Options{Addresses: []string{"http://10.0.0.1:1"}, HTTPClient: &http.Client{Transport: f}, Silence: 3 * time.Second})
 				if err != nil {
 					t.Fatal(err)
 				}
