--- a/cmd/internal/soak/inject.go
+++ b/cmd/internal/soak/inject.go
@@ -143,12 +143,12 @@
 
 func (i *injector) store(a Action) {
 	if a.Kind == ForgetChanges {
-		i.c.store.DropHistory()
+		i.c.store.Compact()
 		return
 	}
 	i.c.store.SetFault(standin.Fault(a.Arg))
 	time.Sleep(a.For)
-	i.c.store.SetFault(standin.Sound)
+	i.c.store.SetFault(standin.NoFault)
 }
 
 func (i *injector) operatorAction(a Action) {
--- a/cmd/internal/soak/workers.go
+++ b/cmd/internal/soak/workers.go
@@ -90,20 +90,20 @@
 		id, born = fmt.Sprintf("w%d", h.index), time.Now().UnixMilli()
 	}
 	w := standin.NewWorker(standin.WorkerOptions{
-		ID: id, Born: born, Service: service, CPU: workerCPU, Memory: workerMemory, Agent: h.agentAddress, Every: reportEvery, Rate: h.clockRate,
-		MaxLease: maxLease, Length: h.runLength, Fails: h.runFails, Lose: h.losesCall,
+		ID: id, Born: born, Service: service, CPU: workerCPU, Memory: workerMemory, Agent: h.agentAddress, ReportInterval: reportEvery, ClockRate: h.clockRate,
+		MaxLease: maxLease, RunTime: h.runLength, Fails: h.runFails, LoseCall: h.losesCall,
 		Crashes: func(text string) bool { return parseSpecification(text).Crashes }, Crash: h.crashByTask,
-		Began: func(task string, run uint32, text string) {
+		OnStart: func(task string, run uint32, text string) {
 			checker.RunStarted(since(), l, task, run, parseSpecification(text))
 		},
-		Ended: func(task string, _ uint32, how string) { checker.RunEnded(l, task, how) },
-		Acknowledged: func(draining bool) {
+		OnEnd: func(task string, _ uint32, how string) { checker.RunEnded(l, task, how) },
+		OnAcknowledged: func(draining bool) {
 			if draining {
 				checker.WorkerDraining(since(), l)
 			}
 		},
 	})
-	l.leaseLapsed = w.Lapsed
+	l.leaseLapsed = w.LeaseExpired
 	h.incarnation = l
 	h.current.Store(w)
 	go w.Report()
--- a/node/process/leased_test.go
+++ b/node/process/leased_test.go
@@ -135,12 +135,12 @@
 	reports := freeAddress(s.t)
 	id := fmt.Sprintf("w%d", i)
 	w := standin.NewWorker(standin.WorkerOptions{
-		ID: id, Service: "s", CPU: 4000, Memory: 1000, Agent: reports, Every: 50 * time.Millisecond,
-		Length: func(spec string) time.Duration {
+		ID: id, Service: "s", CPU: 4000, Memory: 1000, Agent: reports, ReportInterval: 50 * time.Millisecond,
+		RunTime: func(spec string) time.Duration {
 			d, _ := time.ParseDuration(spec)
 			return d
 		},
-		Began: func(task string, run uint32, _ string) { s.tracker.start(id, task, run) }, Ended: s.tracker.end,
+		OnStart: func(task string, run uint32, _ string) { s.tracker.start(id, task, run) }, OnEnd: s.tracker.end,
 	})
 	server := httptest.NewServer(w)
 	s.t.Cleanup(server.Close)
@@ -289,7 +289,7 @@
 	s.waitUntil("the worker to be used", serve)
 	s.store.Put(key, []byte("{}"))
 	s.waitUntil("the worker to be unused", func() bool { return !serve() })
-	s.store.DropHistory()
+	s.store.Compact()
 	otherBefore := s.tracker.startedOn("w0")
 	for range 5 {
 		if serve() {
