--- a/cmd/internal/bench/report.go
+++ b/cmd/internal/bench/report.go
@@ -106,12 +106,12 @@
 	}
 	for _, a := range r.site.Agents() {
 		// Endpoints identify a job by contract and ID.
-		for k, n := range a.Worker().Starts() {
+		for k, n := range a.Worker().StartCounts() {
 			_, k.Job = job.SplitName(k.Job)
 			s.starts[k] += n
 			s.byJob[k.Job]++
 		}
-		for k := range a.Worker().Ends() {
+		for k := range a.Worker().EndTimes() {
 			_, k.Job = job.SplitName(k.Job)
 			s.ended[k.Job]++
 		}
--- a/cmd/internal/demo/demo.go
+++ b/cmd/internal/demo/demo.go
@@ -172,7 +172,7 @@
 func (d *Demo) starts() map[task]int {
 	total := make(map[task]int)
 	for _, agent := range d.site.Agents() {
-		for key, count := range agent.Worker().Starts() {
+		for key, count := range agent.Worker().StartCounts() {
 			// Endpoints identify a job by contract and ID.
 			_, id := job.SplitName(key.Job)
 			total[task{job: id, index: key.Index}] += count
--- a/node/agent/endpoint_test.go
+++ b/node/agent/endpoint_test.go
@@ -28,7 +28,7 @@
 		want   pb.Outcome
 		starts int
 	}{
-		{"unresponsive", standin.Faults{Silent: true}, pb.Outcome_OUTCOME_UNKNOWN, 1},
+		{"unresponsive", standin.Faults{Unresponsive: true}, pb.Outcome_OUTCOME_UNKNOWN, 1},
 		{"disconnects", standin.Faults{BreakRuns: true}, pb.Outcome_OUTCOME_UNKNOWN, 1},
 		{"fails all", standin.Faults{FailAll: true}, pb.Outcome_OUTCOME_FAILED, 1},
 		{"refuses", standin.Faults{RefuseAll: true}, pb.Outcome_OUTCOME_NOT_RUN, 0},
@@ -50,7 +50,7 @@
 			if got := h.run(t, "second", 10*time.Second); got != pb.Outcome_OUTCOME_COMPLETE {
 				t.Errorf("the next task ended as %v", got)
 			}
-			if n := w.Starts()[standin.TaskKey{Job: job.Name(contract, "first")}]; n != test.starts {
+			if n := w.StartCounts()[standin.TaskKey{Job: job.Name(contract, "first")}]; n != test.starts {
 				t.Errorf("the first task was started %d times, want %d", n, test.starts)
 			}
 		})
