--- a/cmd/papayahoist/contract_test.go
+++ b/cmd/papayahoist/contract_test.go
@@ -108,7 +108,7 @@
 func TestContractStoreFaults(t *testing.T) {
 	o := newOperator(t)
 	file := o.file("a.json", terms)
-	o.store.SetFaults(kv.Faults{LoseAnswers: 1})
+	o.store.SetFaults(kv.Faults{LoseResponses: 1})
 	o.run(cli.CodeDone, "apply", file)
 	o.contains(o.run(cli.CodeDone, "history", "break-reports"), "REVISION")
 
--- a/node/config/editor_test.go
+++ b/node/config/editor_test.go
@@ -42,8 +42,8 @@
 		applied  bool
 	}{
 		{name: "none", applied: true},
-		{name: "answer lost", faults: kv.Faults{LoseAnswers: 1}, applied: true},
-		{name: "two answers lost", faults: kv.Faults{LoseAnswers: 2}, applied: true},
+		{name: "answer lost", faults: kv.Faults{LoseResponses: 1}, applied: true},
+		{name: "two answers lost", faults: kv.Faults{LoseResponses: 2}, applied: true},
 		{name: "short outage", faults: kv.Faults{Outage: true}, recovery: 700 * time.Millisecond, applied: true},
 		{name: "long outage", faults: kv.Faults{Outage: true}, err: config.ErrUnavailable},
 		{name: "slow", faults: kv.Faults{Delay: 2 * time.Second}, applied: true},
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server.SetFaults(kv.Faults{LoseAnswers: 1})
+		server.SetFaults(kv.Faults{LoseResponses: 1})
 		go func() {
 			for server.Counts().Writes < 2 {
 				time.Sleep(time.Millisecond)
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server.SetFaults(kv.Faults{LoseAnswers: 5})
+		server.SetFaults(kv.Faults{LoseResponses: 5})
 		type outcome struct {
 			id  string
 			err error
--- a/node/membership/membership_test.go
+++ b/node/membership/membership_test.go
@@ -303,7 +303,7 @@
 		quiet := callsPerEntry(c, 10*time.Minute)
 
 		// All watches stop responding, except that of a new entry.
-		c.store.SetFaults(kv.Faults{SilentWatches: true})
+		c.store.SetFaults(kv.Faults{StalledWatches: true})
 		from := c.live()[0].config.Contract("c7").Revision
 		last := c.apply("c7", "last", from, 9)
 		c.kill(c.live()[0])
@@ -401,7 +401,7 @@
 	}{
 		{name: "quiet", faults: kv.Faults{Delay: usualLatency}},
 		{name: "entry restarting", faults: kv.Faults{Delay: usualLatency}, restart: true},
-		{name: "one watch silent", faults: kv.Faults{Delay: usualLatency, SilentWatches: true}, restart: true},
+		{name: "one watch silent", faults: kv.Faults{Delay: usualLatency, StalledWatches: true}, restart: true},
 		{name: "store at 50 times its latency", faults: kv.Faults{Delay: 50 * usualLatency}},
 	}
 	for _, tt := range tests {
--- a/node/process/fleet_test.go
+++ b/node/process/fleet_test.go
@@ -207,7 +207,7 @@
 	}{
 		{name: "quiet", changes: 200, faults: kv.Faults{Delay: usualLatency}},
 		{name: "entry restarting", changes: 20, faults: kv.Faults{Delay: usualLatency}, restart: true},
-		{name: "watches silent", changes: 20, faults: kv.Faults{Delay: usualLatency, SilentWatches: true}, restart: true},
+		{name: "watches silent", changes: 20, faults: kv.Faults{Delay: usualLatency, StalledWatches: true}, restart: true},
 		{name: "store at 50 times its latency", changes: 20, faults: kv.Faults{Delay: 50 * usualLatency}},
 	}
 	for _, c := range cases {
