--- a/node/membership/store.go
+++ b/node/membership/store.go
@@ -67,11 +67,11 @@
 	m.setStoreReachable(true, nil)
 }
 
-// Lost implements follow.Reader.
-func (r *storeReader) Lost(err error) { (*Membership)(r).setStoreReachable(false, err) }
+// Unreachable implements follow.Reader.
+func (r *storeReader) Unreachable(err error) { (*Membership)(r).setStoreReachable(false, err) }
 
-// Reached implements follow.Reader.
-func (r *storeReader) Reached() { (*Membership)(r).setStoreReachable(true, nil) }
+// Reachable implements follow.Reader.
+func (r *storeReader) Reachable() { (*Membership)(r).setStoreReachable(true, nil) }
 
 // appendContract appends the item's contract. An item that can't be decoded is ignored,
 // so that the revision in force stays.
--- a/node/process/leased_operator.go
+++ b/node/process/leased_operator.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Lost implements follow.Reader.
-func (r *operatorReader) Lost(err error) { r.entry.logger.Warn("store_lost", "err", err) }
+// Unreachable implements follow.Reader.
+func (r *operatorReader) Unreachable(err error) { r.entry.logger.Warn("store_lost", "err", err) }
 
-// Reached implements follow.Reader.
-func (r *operatorReader) Reached() {}
+// Reachable implements follow.Reader.
+func (r *operatorReader) Reachable() {}
