--- a/cmd/internal/bench/faults.go
+++ b/cmd/internal/bench/faults.go
@@ -97,10 +97,10 @@
 		e.Stop()
 		return func() { r.restart(e.Start) }
 	case FaultSilentLinks:
-		a.Relay().Silence()
-		e.NodesRelay().Silence()
+		a.Relay().Blackhole()
+		e.NodesRelay().Blackhole()
 	case FaultSilentCallers:
-		e.CallersRelay().Silence()
+		e.CallersRelay().Blackhole()
 	case FaultPartitionDomain:
 		return partitionDomain(agents, r.config.Profile.WorkersPerRack)
 	case FaultBadWorker:
@@ -122,7 +122,7 @@
 func partitionDomain(agents []*site.Agent, n int) (heal func()) {
 	n = min(n, len(agents))
 	for _, a := range agents[:n] {
-		a.Relay().Cut()
+		a.Relay().Partition()
 	}
 	return func() {
 		for _, a := range agents[:n] {
--- a/cmd/internal/bench/run.go
+++ b/cmd/internal/bench/run.go
@@ -194,14 +194,14 @@
 }
 
 func (r *run) measureIdle(ctx context.Context) {
-	r.idleBefore = r.site.Messages()
+	r.idleBefore = r.site.MessageCounts()
 	_ = sleep(ctx, idleDuration)
-	r.idleAfter = r.site.Messages()
+	r.idleAfter = r.site.MessageCounts()
 }
 
 // load submits each job at its planned time and waits for the last answer.
 func (r *run) load(ctx context.Context) {
-	r.before = r.site.Messages()
+	r.before = r.site.MessageCounts()
 	var wg sync.WaitGroup
 	start := time.Now()
 	stopFaults := r.startFaults(ctx)
@@ -217,7 +217,7 @@
 	wg.Wait()
 	r.elapsed = time.Since(start)
 	stopFaults()
-	r.after = r.site.Messages()
+	r.after = r.site.MessageCounts()
 }
 
 func (r *run) progress(i int, at time.Duration) {
--- a/cmd/internal/site/relay.go
+++ b/cmd/internal/site/relay.go
@@ -110,9 +110,9 @@
 // SetDelay sets the one-way delay of bytes that arrive from now on.
 func (r *Relay) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// Silence discards all further bytes of open connections without closing them.
+// Blackhole discards all further bytes of open connections without closing them.
 // New connections work.
-func (r *Relay) Silence() {
+func (r *Relay) Blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -120,16 +120,16 @@
 	}
 }
 
-// Cut discards the bytes of open connections for good, and those of new ones
+// Partition discards the bytes of open connections for good, and those of new ones
 // until Heal.
-func (r *Relay) Cut() {
-	r.Silence()
+func (r *Relay) Partition() {
+	r.Blackhole()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.partitioned = true
 }
 
-// Heal ends a Cut for new connections.
+// Heal ends a Partition for new connections.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/internal/timeline/site_test.go
+++ b/cmd/internal/timeline/site_test.go
@@ -113,7 +113,7 @@
 		return process
 	}
 	first, second := agentNamed(s, started(0)), agentNamed(s, started(1))
-	first.Relay().Silence()
+	first.Relay().Blackhole()
 	if slices.ContainsFunc(collect(t, s, ours).Events, isResultAtEntry) {
 		return false
 	}
