--- a/cmd/internal/soak/cluster.go
+++ b/cmd/internal/soak/cluster.go
@@ -98,8 +98,8 @@
 
 // newCluster starts the stand-ins, then the processes.
 func newCluster(o Options, size Size, checker *Checker) (*cluster, error) {
-	c := &cluster{size: size, dir: o.Keep, started: time.Now(), checker: checker, spawner: newSpawner(), store: standin.NewStore()}
-	if err := c.startAll(o.Daemon); err != nil {
+	c := &cluster{size: size, dir: o.OutputDir, started: time.Now(), checker: checker, spawner: newSpawner(), store: standin.NewStore()}
+	if err := c.startAll(o.DaemonPath); err != nil {
 		c.close()
 		return nil, err
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -14,10 +14,10 @@
 // Options configure Run.
 type Options struct {
 	Schedule Schedule
-	// Daemon is the path of the program that runs entries and agents.
-	Daemon string
-	// Keep is an existing folder for settings, logs and the report.
-	Keep string
+	// DaemonPath is the path of the program that runs entries and agents.
+	DaemonPath string
+	// OutputDir is an existing folder for settings, logs and the report.
+	OutputDir string
 	// Untimed disables the promises with a time bound, so that a busy machine
 	// can't change the verdict.
 	Untimed bool
@@ -49,7 +49,7 @@
 	return ErrPromise.New("%d findings; the first after %v: %s: %s", len(r.Findings), f.At.Round(time.Millisecond), f.Promise, f.What)
 }
 
-// Names of the files that Run writes to Options.Keep.
+// Names of the files that Run writes to Options.OutputDir.
 const (
 	ScheduleFile = "schedule.json"
 	ReportFile   = "report.json"
@@ -72,7 +72,7 @@
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
 	}
-	if err := writeJSON(o.Keep, ScheduleFile, o.Schedule); err != nil {
+	if err := writeJSON(o.OutputDir, ScheduleFile, o.Schedule); err != nil {
 		return nil, err
 	}
 	plan := &o.Schedule
@@ -94,7 +94,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return p.report, writeJSON(o.Keep, ReportFile, p.report)
+	return p.report, writeJSON(o.OutputDir, ReportFile, p.report)
 }
 
 func writeJSON(dir, name string, v any) error {
