--- a/cmd/internal/bench/run.go
+++ b/cmd/internal/bench/run.go
@@ -136,7 +136,7 @@
 	default:
 		return ErrConfig.New("policy %q: known are: %s, %s, %s, %s, %s", c.Policy, PolicyCredits, PolicyDivided, PolicyRandom, PolicyTwoChoices, PolicyLeastLoaded)
 	}
-	o.EntryCore.UsePreset(c.Profile.Preset)
+	o.EntryCore.ApplyPreset(c.Profile.Preset)
 	o.AgentCore.UsePreset(c.Profile.Preset)
 	return nil
 }
--- a/dispatch/agent/queue.go
+++ b/dispatch/agent/queue.go
@@ -30,7 +30,7 @@
 
 func newSlotAllocator(o Options) slotAllocator {
 	if o.Divided {
-		return limit.NewCredits(limit.CreditsOptions{Slots: int(o.Hello.Slots), Damping: o.RecallDelay})
+		return limit.NewCredits(limit.CreditsOptions{Slots: int(o.Hello.Slots), RecallDelay: o.RecallDelay})
 	}
 	return limit.NewShared(limit.SharedOptions{Slots: int(o.Hello.Slots), MaxQueued: o.MaxQueued})
 }
--- a/dispatch/dispatcher/admit.go
+++ b/dispatch/dispatcher/admit.go
@@ -19,7 +19,7 @@
 		// Other entries have free capacity now, so the caller needn't wait for long.
 		return refuse(ReasonShuttingDown, false, minRetryAfter)
 	}
-	if d.runTimes[j.queue.Name].lowerBound(j.criticalPath) > j.deadline.Sub(now) && !d.opts.Without.Has(without.Abandonment) {
+	if d.runTimes[j.queue.Name].lowerBound(j.criticalPath) > j.deadline.Sub(now) && !d.opts.Disabled.Has(without.Abandonment) {
 		return refuse(ReasonInfeasible, true, 0)
 	}
 	known, fits := d.fits(j)
@@ -43,7 +43,7 @@
 	if lag := d.timerLag.value(now); lag > j.minOrderWait {
 		// The process itself lags by more than that: further jobs would be late, and
 		// delay all others, while another entry can serve them in time.
-		return refuse(ReasonBusy, false, d.retryAfter(lag))
+		return refuse(ReasonLagging, false, d.retryAfter(lag))
 	}
 	return nil
 }
--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -145,10 +145,10 @@
 	if a.session.IsUp() {
 		return
 	}
-	if !a.abandoned && !now.Before(a.downAt.Add(d.opts.Times.GiveUp)) {
+	if !a.abandoned && !now.Before(a.downAt.Add(d.opts.Timeouts.GiveUp)) {
 		d.abandonJobsOn(now, a)
 	}
-	if len(a.live) > 0 && !now.Before(a.lastSent.Add(d.opts.Times.RunsOver)) {
+	if len(a.live) > 0 && !now.Before(a.lastSent.Add(d.opts.Timeouts.RunsOver)) {
 		// No run ordered there can still be alive; see package bounds.
 		d.loseOrders(now, a, "the agent can't be reached")
 	}
@@ -160,7 +160,7 @@
 // abandonJobsOn answers the jobs whose runs on a lost agent can't be replaced in time.
 func (d *Dispatcher) abandonJobsOn(now time.Time, a *agent) {
 	a.abandoned = true
-	free := a.lastSent.Add(d.opts.Times.RunsOver)
+	free := a.lastSent.Add(d.opts.Timeouts.RunsOver)
 	for _, o := range slices.Clone(a.live) {
 		j := o.task.job
 		if !j.ended && free.Add(o.expected).After(j.deadline) {
@@ -175,7 +175,7 @@
 		d.removeOrder(o)
 		// The run may have begun without a report.
 		o.task.job.started = true
-		d.opts.Decided(Decision{Event: "run_lost", Job: o.task.job.ID, Task: o.task.name(), Run: o.run, Agent: a.name, Order: o.number, Reason: reason})
+		d.opts.OnDecision(Decision{Event: "run_lost", Job: o.task.job.ID, Task: o.task.name(), Run: o.run, Agent: a.name, Order: o.number, Reason: reason})
 		d.requeue(o.task.job, o.task)
 	}
 }
@@ -209,7 +209,7 @@
 
 func (d *Dispatcher) applyState(now time.Time, a *agent, s *pb.WorkerState) {
 	if a.state == nil || a.state.Accepting != s.Accepting || a.state.Worker != s.Worker {
-		d.opts.Decided(Decision{Event: "worker_state", Agent: a.name, Reason: s.Held, Outcome: s.Worker, Free: size.OfRoom(s.Room), Age: now.Sub(a.stateAt)})
+		d.opts.OnDecision(Decision{Event: "worker_state", Agent: a.name, Reason: s.Held, Outcome: s.Worker, Free: size.OfRoom(s.Room), Age: now.Sub(a.stateAt)})
 	}
 	if a.state != nil && a.state.Worker != s.Worker {
 		// Statistics of one worker incarnation say little of the next.
@@ -228,7 +228,7 @@
 func (d *Dispatcher) updateHealthState(now time.Time, a *agent) {
 	s := d.health.Standing(a.incarnation, now)
 	if s != a.healthState {
-		d.opts.Decided(Decision{Event: "worker_standing", Agent: a.name, Outcome: healthStateName(s)})
+		d.opts.OnDecision(Decision{Event: "worker_standing", Agent: a.name, Outcome: healthStateName(s)})
 		a.healthState = s
 	}
 }
--- a/dispatch/dispatcher/crash.go
+++ b/dispatch/dispatcher/crash.go
@@ -170,7 +170,7 @@
 			outcome = "at its start"
 		}
 		r := d.crashes.byTask[m.Task]
-		d.opts.Decided(Decision{Event: "task_crashed_worker", Task: m.Task, Agent: a.name, Outcome: outcome, Waiting: len(r.crashes), Reason: "worker: " + m.Worker})
+		d.opts.OnDecision(Decision{Event: "task_crashed_worker", Task: m.Task, Agent: a.name, Outcome: outcome, Waiting: len(r.crashes), Reason: "worker: " + m.Worker})
 	}
 }
 
--- a/dispatch/dispatcher/dispatcher.go
+++ b/dispatch/dispatcher/dispatcher.go
@@ -21,7 +21,7 @@
 type Options struct {
 	Entry, Incarnation, FailureDomain string
 
-	Times bounds.Times
+	Timeouts bounds.Times
 	// Link holds the timing options of links to agents.
 	Link link.Options
 	// DomainRoundTrip is the extra round-trip time to an agent in another failure
@@ -35,12 +35,12 @@
 	// Random returns numbers in [0, 1), for jitter; nil: no jitter.
 	Random func() float64
 	Health health.Options
-	// Without is the set of disabled features, to measure what each is worth.
-	Without without.Set
+	// Disabled is the set of disabled features, to measure what each is worth.
+	Disabled without.Set
 	// Events records events for the time line; nil: no recording.
 	Events *event.Ring
-	// Decided is called with each decision, for the log; nil: no logging.
-	Decided func(Decision)
+	// OnDecision is called with each decision, for the log; nil: no logging.
+	OnDecision func(Decision)
 }
 
 // Defaults of Options.
@@ -136,8 +136,8 @@
 	ReasonEvacuated    = "the failure domains of all workers are evacuated"
 	ReasonTooLarge     = "a task fits no worker"
 	ReasonOverload     = "more urgent work takes all workers"
-	ReasonBusy         = "the entry itself is behind"
-	ReasonHeld         = "no worker came free in time"
+	ReasonLagging         = "the entry itself is behind"
+	ReasonNoFreeWorker         = "no worker came free in time"
 	ReasonDeadline     = "time limit reached"
 	ReasonInfeasible   = "too little time left"
 	ReasonAttempts     = "a task failed too often"
@@ -148,8 +148,8 @@
 	ReasonCancelled    = "cancelled"
 )
 
-// OutboundFrame is a frame to be sent to an agent.
-type OutboundFrame struct {
+// OutgoingFrame is a frame to be sent to an agent.
+type OutgoingFrame struct {
 	Agent string // incarnation
 	Epoch uint64
 	Frame *pb.OrderFrame
@@ -157,12 +157,12 @@
 
 // Ready holds what the driver must carry out.
 type Ready struct {
-	Frames  []OutboundFrame
+	Frames  []OutgoingFrame
 	Answers []Answer
 	// Close lists the agents, by incarnation, whose links must be closed.
 	Close []string
-	// Wants holds requests to other entries for agents; see Invite.
-	Wants []Want
+	// AgentRequests holds requests to other entries for agents; see Invite.
+	AgentRequests []AgentRequest
 }
 
 // Dispatcher is the state of one entry. It isn't safe for concurrent use.
@@ -220,8 +220,8 @@
 	if o.Random == nil {
 		o.Random = func() float64 { return 0.5 }
 	}
-	if o.Decided == nil {
-		o.Decided = func(Decision) {}
+	if o.OnDecision == nil {
+		o.OnDecision = func(Decision) {}
 	}
 	return &Dispatcher{
 		opts: o, health: health.New(o.Health),
@@ -238,7 +238,7 @@
 	}
 	old := d.config.GetVersion()
 	d.config = c
-	d.opts.Decided(Decision{Event: "configuration", Version: c.Version, Reason: "newer than " + utoa(old)})
+	d.opts.OnDecision(Decision{Event: "configuration", Version: c.Version, Reason: "newer than " + utoa(old)})
 	return true
 }
 
@@ -273,9 +273,9 @@
 	return n
 }
 
-// Waiting returns, per queue, the number of jobs that arrived at least since ago and of
+// WaitingJobs returns, per queue, the number of jobs that arrived at least since ago and of
 // which nothing has started.
-func (d *Dispatcher) Waiting(now time.Time, since time.Duration) map[string]int {
+func (d *Dispatcher) WaitingJobs(now time.Time, since time.Duration) map[string]int {
 	out := make(map[string]int)
 	for _, j := range d.jobs {
 		if !j.ended && !j.started && now.Sub(j.arrived) >= since {
@@ -285,11 +285,11 @@
 	return out
 }
 
-// Open returns the number of unanswered jobs.
-func (d *Dispatcher) Open() int { return len(d.jobs) }
+// OpenJobs returns the number of unanswered jobs.
+func (d *Dispatcher) OpenJobs() int { return len(d.jobs) }
 
-// End notifies agents that the process ends now.
-func (d *Dispatcher) End() {
+// NotifyExit notifies agents that the process ends now.
+func (d *Dispatcher) NotifyExit() {
 	d.terminated = true
 	d.touchAll()
 }
--- a/dispatch/dispatcher/dispatcher_test.go
+++ b/dispatch/dispatcher/dispatcher_test.go
@@ -23,7 +23,7 @@
 	agents   map[string]*fakeAgent // by incarnation
 	answers  map[uint64]Answer
 	jobs     int
-	requests []Want
+	requests []AgentRequest
 }
 
 type fakeAgent struct {
@@ -50,7 +50,7 @@
 	}
 	b := &fixture{t: t, now: time.Unix(1000, 0), times: times, agents: map[string]*fakeAgent{}, answers: map[uint64]Answer{}}
 	b.d = New(Options{
-		Entry: "entry-1", Incarnation: "e1", FailureDomain: "hall", Times: times,
+		Entry: "entry-1", Incarnation: "e1", FailureDomain: "hall", Timeouts: times,
 		Link: link.Options{AckDelay: 50 * time.Millisecond, AckTimeout: time.Minute, Heartbeat: time.Minute, HeartbeatTimeout: time.Hour},
 	})
 	// Its startup period is over.
@@ -123,7 +123,7 @@
 			a.used += int64(o.Size.CpuMillis)
 		}
 	}
-	b.requests = append(b.requests, r.Wants...)
+	b.requests = append(b.requests, r.AgentRequests...)
 	for _, a := range r.Answers {
 		b.answers[a.Number] = a
 	}
@@ -326,7 +326,7 @@
 func TestRunsOfDisconnectedCallerAreStopped(t *testing.T) {
 	b := newFixture(t, "a")
 	n := b.mustSubmit(tasks(2, 1000, time.Second))
-	b.d.CallerGone(b.now, n)
+	b.d.CallerDisconnected(b.now, n)
 	b.ready()
 	if got := len(b.agents["a-1"].stops); got != 2 {
 		t.Errorf("%d stops, want 2", got)
@@ -465,7 +465,7 @@
 	b.advance(100 * time.Millisecond)
 	b.agents["a-1"].used = 5000 // full even without this order
 	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
-	b.wantAnswer(m, NotRun, ReasonHeld)
+	b.wantAnswer(m, NotRun, ReasonNoFreeWorker)
 }
 
 // A second entry or a stale read supplies an older configuration. Applied, it would restore
@@ -547,7 +547,7 @@
 	b.ready()
 	o := b.orders()[0]
 	b.reportOrder(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
-	b.d.CallerGone(b.now, first)
+	b.d.CallerDisconnected(b.now, first)
 	b.d.Submit(b.now, j)
 	b.ready()
 	if got := len(b.orders()); got != 1 {
@@ -565,7 +565,7 @@
 	b := newFixture(t, "a")
 	n, _ := b.d.Submit(b.now, tasks(2, 1000, 100*time.Millisecond))
 	b.d.place(b.now)
-	b.d.CallerGone(b.now, n)
+	b.d.CallerDisconnected(b.now, n)
 	b.ready()
 	if a := b.agents["a-1"]; len(a.orders)+len(a.stops) != 0 || b.d.agents[0].free.CPUMillis != 4000 {
 		t.Errorf("orders %v, stops %v, free %v", a.orders, a.stops, b.d.agents[0].free)
@@ -600,7 +600,7 @@
 	b.now = b.now.Add(800 * time.Millisecond)
 	b.d.Tick(b.now)
 	b.ready()
-	if _, refused := b.submit(tasks(1, 1000, 100*time.Millisecond)); refused == nil || refused.Reason != ReasonBusy {
+	if _, refused := b.submit(tasks(1, 1000, 100*time.Millisecond)); refused == nil || refused.Reason != ReasonLagging {
 		t.Errorf("answer %+v, want a refusal because the entry lags", refused)
 	}
 	if !b.d.behind(b.now) {
--- a/dispatch/dispatcher/evacuate.go
+++ b/dispatch/dispatcher/evacuate.go
@@ -51,7 +51,7 @@
 	if agents == 0 {
 		reason = "no worker is known there"
 	}
-	d.opts.Decided(Decision{Event: event, Domain: domain, Reason: reason, Waiting: agents, Version: d.evacuations.Message().GetRevision()})
+	d.opts.OnDecision(Decision{Event: event, Domain: domain, Reason: reason, Waiting: agents, Version: d.evacuations.Message().GetRevision()})
 }
 
 // allEvacuated reports whether every linked worker of a service is in an evacuated
--- a/dispatch/dispatcher/frames.go
+++ b/dispatch/dispatcher/frames.go
@@ -42,7 +42,7 @@
 // refused recently, and ends that request afterwards.
 func (d *Dispatcher) updateExpedite(now time.Time) {
 	for service, w := range d.waitlists {
-		if expedite := (len(w.jobs) > 0 || now.Sub(w.refusedAt) < expediteAfterRefusal) && !d.opts.Without.Has(without.Expedite); expedite != w.expedite {
+		if expedite := (len(w.jobs) > 0 || now.Sub(w.refusedAt) < expediteAfterRefusal) && !d.opts.Disabled.Has(without.Expedite); expedite != w.expedite {
 			w.expedite = expedite
 			d.setExpedite(service, expedite)
 		}
@@ -95,16 +95,16 @@
 		return next
 	}
 	if !a.abandoned {
-		return a.downAt.Add(d.opts.Times.GiveUp)
+		return a.downAt.Add(d.opts.Timeouts.GiveUp)
 	}
 	if len(a.live) > 0 {
-		return a.lastSent.Add(d.opts.Times.RunsOver)
+		return a.lastSent.Add(d.opts.Timeouts.RunsOver)
 	}
 	return a.downAt.Add(agentRetention)
 }
 
 func (d *Dispatcher) renewInterval() time.Duration {
-	return time.Duration(renewShare * float64(d.opts.Times.Silence))
+	return time.Duration(renewShare * float64(d.opts.Timeouts.Silence))
 }
 
 // flush builds the frame for an agent, if one is due.
@@ -131,5 +131,5 @@
 	f.InvitedBy, a.invitedBy = a.invitedBy, nil
 	a.pending = pb.OrderFrame{}
 	a.dirty, a.sendEntries, a.sendEvacuations, a.expedite, a.lastSent = false, false, false, expedite, now
-	d.ready.Frames = append(d.ready.Frames, OutboundFrame{Agent: a.incarnation, Epoch: a.session.Epoch(), Frame: f})
+	d.ready.Frames = append(d.ready.Frames, OutgoingFrame{Agent: a.incarnation, Epoch: a.session.Epoch(), Frame: f})
 }
--- a/dispatch/dispatcher/invite.go
+++ b/dispatch/dispatcher/invite.go
@@ -15,13 +15,13 @@
 // are then its own like all others, so no guarantee depends on a third process; forwarding
 // the job would put one between the caller and its runs.
 
-// Want asks the driver to have other entries invite agents.
-type Want struct {
+// AgentRequest asks the driver to have other entries invite agents.
+type AgentRequest struct {
 	Service string
 	Size    size.Size
 	// Label that a worker must have; empty: any.
 	Label  string
-	Agents int
+	MaxAgents int
 }
 
 const (
@@ -49,7 +49,7 @@
 
 // partiallyLinked reports whether some agents have no link to this entry by design.
 func (d *Dispatcher) partiallyLinked() bool {
-	return len(d.entries) > subset.Links && !d.opts.Without.Has(without.Invitations)
+	return len(d.entries) > subset.Links && !d.opts.Disabled.Has(without.Invitations)
 }
 
 // requestAgents asks other entries for agents that may run a step's tasks, subject to backoff.
@@ -74,12 +74,12 @@
 		w.interval = minRequestInterval / 2
 	}
 	w.last, w.interval = now, min(2*w.interval, maxRequestInterval)
-	d.ready.Wants = append(d.ready.Wants, Want{Service: j.queue.Service, Size: s.Size, Label: s.Requires, Agents: agentsPerRequest})
-	d.opts.Decided(Decision{Event: "agents_wanted", Job: j.ID, Queue: j.queue.Name, Reason: s.Requires, Waiting: len(d.agents)})
+	d.ready.AgentRequests = append(d.ready.AgentRequests, AgentRequest{Service: j.queue.Service, Size: s.Size, Label: s.Requires, MaxAgents: agentsPerRequest})
+	d.opts.OnDecision(Decision{Event: "agents_wanted", Job: j.ID, Queue: j.queue.Name, Reason: s.Requires, Waiting: len(d.agents)})
 }
 
-// Invited records how many agents other entries have invited.
-func (d *Dispatcher) Invited(w Want, agents int) {
+// RecordInvitations records how many agents other entries have invited.
+func (d *Dispatcher) RecordInvitations(w AgentRequest, agents int) {
 	if a := d.requests[w.Service+"/"+w.Label]; a != nil && agents > 0 {
 		a.interval = minRequestInterval
 	}
@@ -100,14 +100,14 @@
 	return true
 }
 
-// Invite has agents with free capacity that may run what another entry requests link to it,
+// InviteAgents has agents with free capacity that may run what another entry requests link to it,
 // and returns how many.
-func (d *Dispatcher) Invite(now time.Time, address string, w Want) int {
+func (d *Dispatcher) InviteAgents(now time.Time, address string, w AgentRequest) int {
 	invited := 0
 	n := len(d.agents)
 	for i := range n {
 		a := d.agents[(d.cursor+i)%n]
-		if invited >= w.Agents {
+		if invited >= w.MaxAgents {
 			break
 		}
 		if !d.takesOrders(a, w.Service) || a.healthState != place.Open {
@@ -121,6 +121,6 @@
 		d.touch(a)
 		invited++
 	}
-	d.opts.Decided(Decision{Event: "agents_invited", Reason: w.Label, Waiting: invited, Outcome: address})
+	d.opts.OnDecision(Decision{Event: "agents_invited", Reason: w.Label, Waiting: invited, Outcome: address})
 	return invited
 }
--- a/dispatch/dispatcher/invite_test.go
+++ b/dispatch/dispatcher/invite_test.go
@@ -75,7 +75,7 @@
 	}
 	before := len(b.requests)
 	for range 20 {
-		b.d.Invited(b.requests[0], 2)
+		b.d.RecordInvitations(b.requests[0], 2)
 		b.submit(tasks(1, 1000, 100*time.Millisecond))
 		b.advance(100 * time.Millisecond)
 	}
@@ -119,7 +119,7 @@
 	}
 	b.agents["a-1"].used = 3500
 	b.report(b.agents["a-1"])
-	if n := b.d.Invite(b.now, "10.0.0.9:1", Want{Service: "s", Label: "x", Size: size.Size{CPUMillis: 1000}, Agents: 4}); n != 1 {
+	if n := b.d.InviteAgents(b.now, "10.0.0.9:1", AgentRequest{Service: "s", Label: "x", Size: size.Size{CPUMillis: 1000}, MaxAgents: 4}); n != 1 {
 		t.Errorf("invited %d agents, want 1", n)
 	}
 	b.ready()
--- a/dispatch/dispatcher/jobs.go
+++ b/dispatch/dispatcher/jobs.go
@@ -240,7 +240,7 @@
 	case j.held && !j.ordered:
 		d.admitHeld(now, j)
 	case !j.ordered:
-		d.abandon(now, j, ReasonHeld)
+		d.abandon(now, j, ReasonNoFreeWorker)
 	default:
 		d.resetJobTimer(j, j.deadline)
 	}
@@ -284,7 +284,7 @@
 }
 
 func (d *Dispatcher) logAnswer(now time.Time, j *job, a Answer) {
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "job_answered", Job: j.ID, Queue: j.queue.Name, Version: j.Version, Outcome: a.Outcome.String(),
 		Reason: a.Reason, Elapsed: now.Sub(j.arrived), Waiting: len(j.waiting), Retry: a.RetryAfter, Tasks: j.tasks(), Longest: j.criticalPath,
 		Limit: j.deadline.Sub(j.arrived), Objective: j.objective.Sub(j.arrived),
@@ -327,11 +327,11 @@
 	d.enqueue(next)
 }
 
-// CallerGone ends a job whose caller no longer waits for the answer.
-func (d *Dispatcher) CallerGone(now time.Time, number uint64) {
+// CallerDisconnected ends a job whose caller no longer waits for the answer.
+func (d *Dispatcher) CallerDisconnected(now time.Time, number uint64) {
 	if j := d.jobs[number]; j != nil {
 		d.endJob(now, j)
-		d.opts.Decided(Decision{Event: "caller_gone", Job: j.ID, Queue: j.queue.Name, Elapsed: now.Sub(j.arrived)})
+		d.opts.OnDecision(Decision{Event: "caller_gone", Job: j.ID, Queue: j.queue.Name, Elapsed: now.Sub(j.arrived)})
 	}
 }
 
@@ -349,8 +349,8 @@
 	return true
 }
 
-// State reports whether the job with the id is open here, and whether it has started.
-func (d *Dispatcher) State(queue, id string) (known, started bool) {
+// JobState reports whether the job with the id is open here, and whether it has started.
+func (d *Dispatcher) JobState(queue, id string) (known, started bool) {
 	j := d.byID[jobKey(queue, id)]
 	return j != nil, j != nil && j.started
 }
--- a/dispatch/dispatcher/late.go
+++ b/dispatch/dispatcher/late.go
@@ -49,10 +49,10 @@
 // while work starts as predicted: otherwise they take capacity that the next jobs need to meet
 // their objectives.
 func (d *Dispatcher) admitsLate(now time.Time) bool {
-	if d.opts.Without.Has(without.LateWork) {
+	if d.opts.Disabled.Has(without.LateWork) {
 		return false
 	}
-	if d.opts.Without.Has(without.LateYield) {
+	if d.opts.Disabled.Has(without.LateYield) {
 		return true
 	}
 	return d.startsAsPredicted(now) && d.lateCompletion.value(now) >= minLateCompletion
--- a/dispatch/dispatcher/late_test.go
+++ b/dispatch/dispatcher/late_test.go
@@ -104,7 +104,7 @@
 		t.Fatal("answered while its order waits")
 	}
 	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
-	b.wantAnswer(n, NotRun, ReasonHeld)
+	b.wantAnswer(n, NotRun, ReasonNoFreeWorker)
 }
 
 // A worker is expected to start a task in 100 ms. With a limit of a quarter of the objective,
@@ -124,8 +124,8 @@
 func TestLaggingEntryRefusesAtOnce(t *testing.T) {
 	b := newFixture(t, "a")
 	b.d.timerLag.observe(b.now, 150*time.Millisecond)
-	if _, refused := b.submit(tasks(1, 1000, 100*time.Millisecond)); refused == nil || refused.Outcome != NotRun || refused.Reason != ReasonBusy {
-		t.Errorf("answer %+v, want not run for %q", refused, ReasonBusy)
+	if _, refused := b.submit(tasks(1, 1000, 100*time.Millisecond)); refused == nil || refused.Outcome != NotRun || refused.Reason != ReasonLagging {
+		t.Errorf("answer %+v, want not run for %q", refused, ReasonLagging)
 	}
 	b.mustSubmit(tasks(1, 1000, 900*time.Millisecond)) // it may wait longer
 }
@@ -148,7 +148,7 @@
 				b.reportOrder(b.agents[a].orders[0], pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonLate, 0)
 			}
 			_, refused := b.submit(tasks(1, 500, 100*time.Millisecond))
-			if got := refused != nil && refused.Reason == ReasonBusy; got != c.refused {
+			if got := refused != nil && refused.Reason == ReasonLagging; got != c.refused {
 				t.Errorf("answer %+v, want refused %v", refused, c.refused)
 			}
 		})
--- a/dispatch/dispatcher/learn.go
+++ b/dispatch/dispatcher/learn.go
@@ -109,7 +109,7 @@
 	if estimated <= 0 {
 		estimated = defaultEstimate
 	}
-	if d.opts.Without.Has(without.Learning) {
+	if d.opts.Disabled.Has(without.Learning) {
 		return
 	}
 	m.observe(estimated, ran)
--- a/dispatch/dispatcher/leave.go
+++ b/dispatch/dispatcher/leave.go
@@ -8,10 +8,10 @@
 	"github.com/papayahoist/papayahoist/dispatch/link"
 )
 
-// Leave announces that the process ends at the given time. A job that is expected to last
+// Drain announces that the process ends at the given time. A job that is expected to last
 // longer is refused while another entry can still serve it, and one that does last longer is
 // abandoned, answered and stopped: a closed connection would tell its caller nothing.
-func (d *Dispatcher) Leave(now, end time.Time) {
+func (d *Dispatcher) Drain(now, end time.Time) {
 	d.shutdownAt = end
 	// A fixed order: jobs that are due together are abandoned as they were submitted.
 	for _, number := range slices.Sorted(maps.Keys(d.jobs)) {
@@ -19,7 +19,7 @@
 		d.capDeadline(j)
 		d.resetJobTimer(j, link.Earlier(j.dueAt, j.deadline))
 	}
-	d.opts.Decided(Decision{Event: "leaving", Limit: end.Sub(now)})
+	d.opts.OnDecision(Decision{Event: "leaving", Limit: end.Sub(now)})
 }
 
 // capDeadline limits a job's deadline to the shutdown time.
--- a/dispatch/dispatcher/leave_test.go
+++ b/dispatch/dispatcher/leave_test.go
@@ -12,7 +12,7 @@
 // would have to wait and send it again. It must be refused at once, so that it runs elsewhere.
 func TestEntryThatShutsDownRefusesJobsThatOutlastIt(t *testing.T) {
 	b := newFixture(t, "a")
-	b.d.Leave(b.now, b.now.Add(4*time.Second))
+	b.d.Drain(b.now, b.now.Add(4*time.Second))
 	job := tasks(1, 1000, 2*time.Second)
 	job.TimeLimit = 9 * time.Second
 	b.mustSubmit(job)
@@ -37,7 +37,7 @@
 	job.TimeLimit = 9 * time.Second
 	n := b.mustSubmit(job)
 	b.reportOrder(b.orders()[0], pb.OrderState_ORDER_STATE_STARTED, "", 0)
-	b.d.Leave(b.now, b.now.Add(4*time.Second))
+	b.d.Drain(b.now, b.now.Add(4*time.Second))
 	b.advance(4*time.Second + 10*time.Millisecond)
 	if a, ok := b.answers[n]; !ok || a.Outcome != Unknown || a.Reason != ReasonShuttingDown {
 		t.Errorf("answer %+v, %v; want unknown, as the entry shuts down", a, ok)
--- a/dispatch/dispatcher/links.go
+++ b/dispatch/dispatcher/links.go
@@ -51,7 +51,7 @@
 	delete(d.handshakes, g.Incarnation)
 	for _, other := range d.agents {
 		if other.name == g.Agent && other.incarnation != g.Incarnation && other.handshakeAt.After(g.at) {
-			d.opts.Decided(Decision{Event: "late_greeting", Agent: g.Agent, Reason: "a later process is linked", Age: now.Sub(g.at)})
+			d.opts.OnDecision(Decision{Event: "late_greeting", Agent: g.Agent, Reason: "a later process is linked", Age: now.Sub(g.at)})
 			d.ready.Close = append(d.ready.Close, g.Incarnation)
 			return
 		}
@@ -79,7 +79,7 @@
 	a.sendEvacuations = g.evacuations != d.evacuations.Message()
 	d.updateEntries(a)
 	d.touch(a)
-	d.opts.Decided(Decision{Event: "agent_linked", Agent: a.name, Waiting: len(a.live), Age: now.Sub(g.at)})
+	d.opts.OnDecision(Decision{Event: "agent_linked", Agent: a.name, Waiting: len(a.live), Age: now.Sub(g.at)})
 	d.reconcile(now, a, g.AgentGreeting)
 }
 
@@ -88,7 +88,7 @@
 	for _, incarnation := range slices.Sorted(maps.Keys(d.handshakes)) {
 		if g := d.handshakes[incarnation]; !now.Before(d.expiryOf(g)) {
 			delete(d.handshakes, incarnation)
-			d.opts.Decided(Decision{Event: "late_greeting", Agent: g.Agent, Reason: "no frame followed", Age: now.Sub(g.at)})
+			d.opts.OnDecision(Decision{Event: "late_greeting", Agent: g.Agent, Reason: "no frame followed", Age: now.Sub(g.at)})
 			d.ready.Close = append(d.ready.Close, incarnation)
 		}
 	}
@@ -132,7 +132,7 @@
 	if a.session.IsUp() {
 		d.linkLost(now, a, "the agent was restarted")
 	}
-	d.opts.Decided(Decision{Event: "agent_replaced", Agent: a.name, Waiting: len(a.live)})
+	d.opts.OnDecision(Decision{Event: "agent_replaced", Agent: a.name, Waiting: len(a.live)})
 }
 
 // settlePredecessors records that no run started by an agent's earlier processes is left.
@@ -171,7 +171,7 @@
 	a.session.Down()
 	a.downAt = now
 	d.touch(a)
-	d.opts.Decided(Decision{Event: "agent_lost", Agent: a.name, Reason: reason, Waiting: len(a.live), Age: now.Sub(a.stateAt)})
+	d.opts.OnDecision(Decision{Event: "agent_lost", Agent: a.name, Reason: reason, Waiting: len(a.live), Age: now.Sub(a.stateAt)})
 	// Orders that aren't in a frame yet have not left this process.
 	unsent := a.pending.Orders
 	a.pending = pb.OrderFrame{}
--- a/dispatch/dispatcher/move.go
+++ b/dispatch/dispatcher/move.go
@@ -39,7 +39,7 @@
 	o.progress = runProgress{now, time.Duration(n.RunMs) * time.Millisecond, time.Duration(n.RemainingMs) * time.Millisecond}
 	d.reportHealth(now, o.agent, o.task.job, health.Result{Run: relativeRun(o.progress.ran+o.progress.remaining, o.expected)})
 	d.considerMove(now, o)
-	if !o.stopped && !o.task.job.ended && !d.opts.Without.Has(without.Abandonment) && now.Add(o.progress.remaining).After(o.task.job.deadline) {
+	if !o.stopped && !o.task.job.ended && !d.opts.Disabled.Has(without.Abandonment) && now.Add(o.progress.remaining).After(o.task.job.deadline) {
 		// Overlong runs never end here; without them the queue's run times would
 		// seem shorter than they are.
 		j := o.task.job
@@ -76,7 +76,7 @@
 // with a task of the same step, or its worker compared with others.
 func (d *Dispatcher) considerMove(now time.Time, o *order) {
 	j := o.task.job
-	if o.stopped || j.ended || d.opts.Without.Has(without.Moves) {
+	if o.stopped || j.ended || d.opts.Disabled.Has(without.Moves) {
 		return
 	}
 	s := &j.steps[o.task.step]
@@ -88,14 +88,14 @@
 	case o.agent.healthState != place.Open || o.agent.slowness > suspectSlowness:
 		factor, evidence = suspectFactor, "slow worker"
 	}
-	rerunTime := moveCost + d.opts.Times.Stop + reference
+	rerunTime := moveCost + d.opts.Timeouts.Stop + reference
 	remaining := o.progress.remaining - now.Sub(o.progress.reportedAt)
 	if float64(total) < factor*float64(reference) || remaining < rerunTime || now.Add(rerunTime).After(j.deadline) {
 		return
 	}
 	o.task.avoid = append(o.task.avoid, o.agent)
 	d.stopOrder(o)
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "run_moved", Job: j.ID, Queue: j.queue.Name, Task: o.task.name(), Run: o.run, Agent: o.agent.name, Order: o.number,
 		Reason: "slow against " + evidence, Elapsed: o.progress.ran, Age: now.Sub(o.progress.reportedAt), Retry: remaining,
 	})
--- a/dispatch/dispatcher/orders.go
+++ b/dispatch/dispatcher/orders.go
@@ -77,7 +77,7 @@
 	if wait > 0 {
 		reason = "shortest wait"
 	}
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "task_ordered", Job: t.job.ID, Queue: t.job.queue.Name, Version: t.job.Version, Task: t.name(), Run: o.run,
 		Agent: a.name, Order: o.number, Reason: reason, Age: now.Sub(a.stateAt), Elapsed: now.Sub(t.job.arrived), Free: a.free, Retry: wait,
 	})
@@ -112,7 +112,7 @@
 			t.avoid = append(t.avoid, a)
 		}
 	}
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "order_refused", Job: t.job.ID, Task: t.name(), Run: o.run, Agent: a.name, Order: o.number, Reason: reason,
 		Elapsed: now.Sub(t.job.arrived), Free: a.free,
 	})
@@ -121,13 +121,13 @@
 		return
 	}
 	d.requeue(j, t)
-	if !d.opts.Without.Has(without.Abandonment) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
+	if !d.opts.Disabled.Has(without.Abandonment) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
 		// Its answer would be of no use, and its other tasks would only take capacity.
-		d.abandon(now, j, ReasonHeld)
+		d.abandon(now, j, ReasonNoFreeWorker)
 		return
 	}
 	if !j.started && !j.hasOrders() && !now.Before(j.placeBy) {
-		d.abandon(now, j, ReasonHeld)
+		d.abandon(now, j, ReasonNoFreeWorker)
 	}
 }
 
@@ -176,7 +176,7 @@
 }
 
 func (d *Dispatcher) logRunEnd(now time.Time, o *order, outcome string, ran time.Duration) {
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "run_ended", Job: o.task.job.ID, Queue: o.task.job.queue.Name, Task: o.task.name(), Run: o.run, Agent: o.agent.name,
 		Order: o.number, Outcome: outcome, Elapsed: ran, Age: now.Sub(o.sentAt),
 	})
@@ -192,7 +192,7 @@
 }
 
 func (d *Dispatcher) reportHealth(now time.Time, a *agent, j *job, r health.Result) {
-	if d.opts.Without.Has(without.Health) {
+	if d.opts.Disabled.Has(without.Health) {
 		return
 	}
 	r.Contract = j.queue.Name
--- a/dispatch/dispatcher/suspension.go
+++ b/dispatch/dispatcher/suspension.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Wake detects that the process was suspended recently. What it reads then may have been
+// SuspensionDetector detects that the process was suspended recently. What it reads then may have been
 // queued in its sockets all that time: a caller that has long closed its connection and sent
 // its job again elsewhere looks like a new one, and its tasks would run twice at a time. So
 // for a short time after a suspension, a new job is held until the end of its connection
-// would have been read as well. A Wake is safe for concurrent use.
-type Wake struct {
+// would have been read as well. A SuspensionDetector is safe for concurrent use.
+type SuspensionDetector struct {
 	mu          sync.Mutex
 	initialized bool
 	offset      time.Duration // of the clock that counts suspended time over the other
@@ -29,7 +29,7 @@
 
 // Hold returns how long a job that arrived now must be held before it is submitted. now
 // counts suspended time, and steady does not.
-func (w *Wake) Hold(now time.Time, steady time.Duration) time.Duration {
+func (w *SuspensionDetector) Hold(now time.Time, steady time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	offset := now.Sub(time.Unix(0, 0)) - steady
--- a/dispatch/dispatcher/suspension_test.go
+++ b/dispatch/dispatcher/suspension_test.go
@@ -9,7 +9,7 @@
 // be of callers that have gone elsewhere, and they are read before the ends of their
 // connections.
 func TestJobsAreHeldAfterSuspension(t *testing.T) {
-	var w Wake
+	var w SuspensionDetector
 	now, steady := time.Unix(5000, 0), 100*time.Second
 	for _, c := range []struct {
 		pass, awake time.Duration
--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -127,8 +127,8 @@
 	return o
 }
 
-// UsePreset sets the zero fields of o that the preset has a value for.
-func (o *Options) UsePreset(p preset.Preset) {
+// ApplyPreset sets the zero fields of o that the preset has a value for.
+func (o *Options) ApplyPreset(p preset.Preset) {
 	if o.Link == (link.Options{}) {
 		o.Link = p.Link
 	}
--- a/dispatch/leasedcheck/check.go
+++ b/dispatch/leasedcheck/check.go
@@ -304,7 +304,7 @@
 		t.e.waiting[t.number] = remaining
 		if len(remaining) == 0 {
 			delete(t.e.waiting, t.number)
-			t.e.decide(func(now time.Time) { t.e.core.CallerGone(now, t.number) })
+			t.e.decide(func(now time.Time) { t.e.core.CallerDisconnected(now, t.number) })
 		}
 	})
 }
--- a/dispatch/leasedcheck/nodes.go
+++ b/dispatch/leasedcheck/nodes.go
@@ -16,7 +16,7 @@
 	core       *dispatcher.Dispatcher
 	links      map[string]*conn // by agent incarnation
 	waiting    map[uint64][]*attempt
-	suspension dispatcher.Wake
+	suspension dispatcher.SuspensionDetector
 }
 
 func newEntryNode(w *World, i int) *entryNode {
@@ -27,7 +27,7 @@
 
 func (e *entryNode) start() {
 	e.up = true
-	e.suspension = dispatcher.Wake{}
+	e.suspension = dispatcher.SuspensionDetector{}
 	e.links = map[string]*conn{}
 	e.waiting = map[uint64][]*attempt{}
 	e.core = e.newCore()
@@ -39,10 +39,10 @@
 
 func (e *entryNode) newCore() *dispatcher.Dispatcher {
 	return dispatcher.New(dispatcher.Options{
-		Entry: e.name, Incarnation: fmt.Sprintf("%s.%d", e.name, e.incarnation), FailureDomain: "d", Times: e.w.times, Link: e.w.link,
+		Entry: e.name, Incarnation: fmt.Sprintf("%s.%d", e.name, e.incarnation), FailureDomain: "d", Timeouts: e.w.times, Link: e.w.link,
 		Random:  e.w.rand.Float64,
-		Without: e.w.o.Disabled,
-		Decided: func(d dispatcher.Decision) {
+		Disabled: e.w.o.Disabled,
+		OnDecision: func(d dispatcher.Decision) {
 			if l := e.w.load; l != nil {
 				l.onDecision(d)
 			}
@@ -72,7 +72,7 @@
 		}
 		delete(e.waiting, a.Number)
 	}
-	for _, request := range r.Wants {
+	for _, request := range r.AgentRequests {
 		e.requestInvitations(request)
 	}
 	for _, incarnation := range r.Close {
@@ -84,7 +84,7 @@
 }
 
 // requestInvitations asks up to two other entries to invite agents of theirs.
-func (e *entryNode) requestInvitations(request dispatcher.Want) {
+func (e *entryNode) requestInvitations(request dispatcher.AgentRequest) {
 	for range 2 {
 		other := e.w.entries[e.w.rand.IntN(len(e.w.entries))]
 		if other == e || !other.up {
@@ -94,8 +94,8 @@
 		e.w.schedule(e.w.latency(), func() {
 			other.run(other.incarnation, func() {
 				invited := 0
-				other.decide(func(now time.Time) { invited = other.core.Invite(now, e.name, request) })
-				e.w.schedule(e.w.latency(), func() { e.run(incarnation, func() { e.core.Invited(request, invited) }) })
+				other.decide(func(now time.Time) { invited = other.core.InviteAgents(now, e.name, request) })
+				e.w.schedule(e.w.latency(), func() { e.run(incarnation, func() { e.core.RecordInvitations(request, invited) }) })
 			})
 		})
 	}
@@ -142,9 +142,9 @@
 func (e *entryNode) shutDown() {
 	grace := 500*time.Millisecond + e.w.jitter(3*time.Second)
 	e.w.trace("%s shuts down in %v", e.name, grace)
-	e.decide(func(now time.Time) { e.core.Leave(now, now.Add(grace)) })
+	e.decide(func(now time.Time) { e.core.Drain(now, now.Add(grace)) })
 	e.after(grace, func() {
-		e.decide(func(time.Time) { e.core.End() })
+		e.decide(func(time.Time) { e.core.NotifyExit() })
 		e.after(20*time.Millisecond, e.kill)
 	})
 }
@@ -186,7 +186,7 @@
 		domain = domainName(a.index)
 	}
 	a.core = runner.New(runner.Options{
-		Agent: a.name, Incarnation: a.incarnationName(a.incarnation), FailureDomain: domain, Times: a.w.times, Link: a.w.link, Token: a.token, Without: a.w.o.Disabled,
+		Agent: a.name, Incarnation: a.incarnationName(a.incarnation), FailureDomain: domain, Timeouts: a.w.times, Link: a.w.link, Token: a.token, Without: a.w.o.Disabled,
 		Decided: func(d runner.Decision) {
 			a.w.trace("%s %s task %s run %d of %s: %s", a.name, d.Event, d.Task, d.Run, d.Entry, d.Reason)
 		},
--- a/dispatch/limit/credits.go
+++ b/dispatch/limit/credits.go
@@ -10,9 +10,9 @@
 type CreditsOptions struct {
 	// Slots is the number of slots of the endpoint.
 	Slots int
-	// Damping is how long credits must stay unused before they are recalled for
+	// RecallDelay is how long credits must stay unused before they are recalled for
 	// another entry. A shorter time follows demand faster and costs more messages.
-	Damping time.Duration
+	RecallDelay time.Duration
 }
 
 // Credits divides the slots of one endpoint between the entries linked to it.
@@ -260,7 +260,7 @@
 		wanted -= h.recalled
 	}
 	for _, h := range c.order {
-		if now.Sub(h.windowStart) < c.options.Damping {
+		if now.Sub(h.windowStart) < c.options.RecallDelay {
 			continue
 		}
 		n := min(h.minUnused-h.recalled, wanted)
@@ -287,7 +287,7 @@
 		return at
 	}
 	for _, h := range c.order {
-		next := h.windowStart.Add(c.options.Damping)
+		next := h.windowStart.Add(c.options.RecallDelay)
 		if h.want == 0 && h.granted > h.recalled && (at.IsZero() || next.Before(at)) {
 			at = next
 		}
--- a/dispatch/limit/limit_test.go
+++ b/dispatch/limit/limit_test.go
@@ -20,7 +20,7 @@
 func TestCreditsNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 16).Draw(t, "slots")
-		c := NewCredits(CreditsOptions{Slots: slots, Damping: 10 * time.Millisecond})
+		c := NewCredits(CreditsOptions{Slots: slots, RecallDelay: 10 * time.Millisecond})
 		entry := rapid.SampledFrom([]string{"a", "b", "c"})
 		now := epoch
 		var running []string
@@ -119,7 +119,7 @@
 }
 
 func TestCreditsFollowDemand(t *testing.T) {
-	c := NewCredits(CreditsOptions{Slots: 8, Damping: 10 * time.Millisecond})
+	c := NewCredits(CreditsOptions{Slots: 8, RecallDelay: 10 * time.Millisecond})
 	c.Link("a", epoch)
 	c.Link("b", epoch)
 	want := []Grant{{Entry: "a", Granted: 4}, {Entry: "b", Granted: 4}}
--- a/dispatch/runner/poll.go
+++ b/dispatch/runner/poll.go
@@ -104,7 +104,7 @@
 func (r *Runner) workerNow(now time.Time) time.Duration { return r.clock + now.Sub(r.clockAt) }
 
 // leaseEnd returns the end of a lease that is requested now, on the worker's clock.
-func (r *Runner) leaseEnd(now time.Time) time.Duration { return r.workerNow(now) + r.opts.Times.Lease }
+func (r *Runner) leaseEnd(now time.Time) time.Duration { return r.workerNow(now) + r.opts.Timeouts.Lease }
 
 // updateClock records the worker's clock from any answer.
 func (r *Runner) updateClock(now time.Time, clock time.Duration) {
@@ -140,7 +140,7 @@
 	switch {
 	case !waiting || !r.polled || r.unresponsive:
 	case r.Running() == 0:
-		l.Wait = r.opts.Times.Lease / pollsPerLease
+		l.Wait = r.opts.Timeouts.Lease / pollsPerLease
 	case lossy:
 		l.Wait = lossyPollInterval
 	default:
--- a/dispatch/runner/runner_test.go
+++ b/dispatch/runner/runner_test.go
@@ -38,7 +38,7 @@
 		updates: map[string][]*pb.OrderNews{}, states: map[string]*pb.WorkerState{}, acks: map[string]uint64{}, running: map[string]uint32{},
 	}
 	h.r = New(Options{
-		Agent: "agent-1", Incarnation: "a1", Times: times, Token: 1,
+		Agent: "agent-1", Incarnation: "a1", Timeouts: times, Token: 1,
 		Link: link.Options{AckDelay: 50 * time.Millisecond, AckTimeout: time.Minute, Heartbeat: time.Minute, HeartbeatTimeout: time.Hour},
 	})
 	h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -55,7 +55,7 @@
 	server     *http.Server
 	routes     atomic.Pointer[routes]
 	peers      *peers
-	suspension dispatcher.Wake
+	suspension dispatcher.SuspensionDetector
 	ctx        context.Context
 	cancel     context.CancelFunc
 
@@ -111,7 +111,7 @@
 // Close closes all links. It first notifies the agents that the results of their runs are
 // no longer needed.
 func (d *Dispatcher) Close() {
-	d.decide(func(time.Time) { d.core.End() })
+	d.decide(func(time.Time) { d.core.NotifyExit() })
 	time.Sleep(finalFrameTime)
 	d.cancel()
 	_ = d.server.Close()
@@ -142,7 +142,7 @@
 		}
 		delete(d.callers, a.Number)
 	}
-	for _, w := range r.Wants {
+	for _, w := range r.AgentRequests {
 		go d.invite(w)
 	}
 	for _, agent := range r.Close {
@@ -183,7 +183,7 @@
 			return
 		}
 		delete(d.callers, number)
-		d.core.CallerGone(now, number)
+		d.core.CallerDisconnected(now, number)
 	})
 	return dispatcher.Answer{}, false
 }
@@ -208,14 +208,14 @@
 func (d *Dispatcher) Open() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Open()
+	return d.core.OpenJobs()
 }
 
 // State reports whether this entry holds a job, and whether the job has started.
 func (d *Dispatcher) State(queue, id string) (known, started bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.State(queue, id)
+	return d.core.JobState(queue, id)
 }
 
 // Cancel cancels a job at this entry or at another one. It returns false if none of the
@@ -239,7 +239,7 @@
 func (d *Dispatcher) waitingLocal(since time.Duration) map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Waiting(clock.Now(), since)
+	return d.core.WaitingJobs(clock.Now(), since)
 }
 
 // Links returns the number of agents with a link.
@@ -308,7 +308,7 @@
 // can't complete by then are answered shortly before.
 func (d *Dispatcher) Leave(timeout time.Duration) {
 	d.peers.leave()
-	d.decide(func(now time.Time) { d.core.Leave(now, now.Add(timeout-finalAnswerTime)) })
+	d.decide(func(now time.Time) { d.core.Drain(now, now.Add(timeout-finalAnswerTime)) })
 }
 
 // finalAnswerTime is the time for the last answers to be sent before the process ends.
--- a/node/dispatcher/exchange_test.go
+++ b/node/dispatcher/exchange_test.go
@@ -20,7 +20,7 @@
 	}
 	d, err := New(Options{
 		NodesListen: "127.0.0.1:0", Seeds: seeds, Logger: slog.New(slog.DiscardHandler),
-		Core: dispatcher.Options{Entry: "e", Incarnation: t.Name() + time.Now().String(), Times: times},
+		Core: dispatcher.Options{Entry: "e", Incarnation: t.Name() + time.Now().String(), Timeouts: times},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/node/dispatcher/invite.go
+++ b/node/dispatcher/invite.go
@@ -22,10 +22,10 @@
 
 // invite asks other entries to invite agents of theirs to link to this one, and records
 // how many were invited.
-func (d *Dispatcher) invite(w dispatcher.Want) {
+func (d *Dispatcher) invite(w dispatcher.AgentRequest) {
 	others := d.peers.others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	req := &pb.InviteRequest{Address: d.opts.Address, Service: w.Service, Size: w.Size.Message(), Label: w.Label, Agents: uint32(w.Agents)}
+	req := &pb.InviteRequest{Address: d.opts.Address, Service: w.Service, Size: w.Size.Message(), Label: w.Label, Agents: uint32(w.MaxAgents)}
 	var invited atomic.Int64
 	d.peers.callAll(d.ctx, others[:min(maxAskedEntries, len(others))], func(ctx context.Context, x *peer) {
 		resp, err := x.client.Invite(ctx, connect.NewRequest(req))
@@ -37,5 +37,5 @@
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.Invited(w, int(invited.Load()))
+	d.core.RecordInvitations(w, int(invited.Load()))
 }
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -181,7 +181,7 @@
 	s, core := b.opts.Settings, b.opts.Core
 	core.Events = b.ring
 	if p, ok := preset.ByName(s.Preset); ok {
-		core.UsePreset(p)
+		core.ApplyPreset(p)
 	}
 	e.Entry, err = entry.New(entry.Options{
 		Hello: b.hello, CallersListen: s.CallersListen, NodesListen: s.NodesListen, OperatorsListen: s.OperatorsListen,
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -66,7 +66,7 @@
 		OnFrame:     a.metrics.countWorkerFrame,
 		FindEntries: func(ctx context.Context) ([]string, error) { return roster.Find(ctx, client) },
 		Core: corerunner.Options{
-			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLinkOptions(times),
+			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
 			// The start time is the fencing token: a later process beside the same worker
 			// has a higher one.
 			Token: uint64(time.Now().UnixMilli()), Without: disabled, Decided: runnerLogger(a.log, a.metrics),
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -109,9 +109,9 @@
 		NodesListen: s.NodesListen, Address: s.Address(), Seeds: s.Seeds, Logger: e.logger,
 		OnFrame: e.metrics.countOrderFrame, OnExchange: e.metrics.exchanges.Inc,
 		Core: coredispatcher.Options{
-			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLinkOptions(times),
+			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
 			RemoteFactor: s.Bounds.RemoteFactor, ReportsPerSecond: reportsPerCore * s.ProcessorShare,
-			Random: rand.Float64, Without: disabled, Decided: dispatcherLogger(e.log, e.metrics),
+			Random: rand.Float64, Disabled: disabled, OnDecision: dispatcherLogger(e.log, e.metrics),
 		},
 	})
 	if err != nil {
