--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -25,7 +25,7 @@
 	// free is the free capacity last reported, less the orders that the report doesn't
 	// include; it is negative when these exceed it.
 	free        size.Size
-	releases    forecast.Frees
+	releases    forecast.Releases
 	healthState place.Standing
 	slowness    float64 // relative to other workers, as last judged
 
@@ -80,7 +80,7 @@
 // report and the orders that the report doesn't include.
 func (a *agent) recomputeFree() {
 	a.free = size.OfRoom(a.state.GetRoom())
-	a.releases = forecast.Frees{}
+	a.releases = forecast.Releases{}
 	for i, cpu := range a.state.GetFrees() {
 		if i < len(a.releases) {
 			a.releases[i] = int64(cpu)
--- a/dispatch/forecast/forecast.go
+++ b/dispatch/forecast/forecast.go
@@ -15,12 +15,12 @@
 // Never is the predicted wait if nothing is expected to be released.
 const Never = time.Minute
 
-// Frees is how much CPU, in thousandths of a core, will have been released within each of
+// Releases is how much CPU, in thousandths of a core, will have been released within each of
 // Horizons.
-type Frees [len(Horizons)]int64
+type Releases [len(Horizons)]int64
 
 // Add adds a run that will end after left and releases cpu thousandths of a core.
-func (f *Frees) Add(left time.Duration, cpu int64) {
+func (f *Releases) Add(left time.Duration, cpu int64) {
 	for i, h := range Horizons {
 		if left <= h {
 			f[i] += cpu
@@ -34,7 +34,7 @@
 // have taken all of it. With the age deducted, waits that were predicted as 5 to 11 ms had a
 // median of 59 ms and a 90th percentile of 167 ms, with twelve entries; without, those predicted
 // as 11 to 21 ms had 20 and 117 ms.
-func (f *Frees) Wait(need int64) time.Duration {
+func (f *Releases) Wait(need int64) time.Duration {
 	if need <= 0 {
 		return 0
 	}
--- a/dispatch/forecast/forecast_test.go
+++ b/dispatch/forecast/forecast_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWait(t *testing.T) {
-	var f Frees
+	var f Releases
 	f.Add(8*time.Millisecond, 1000)
 	f.Add(50*time.Millisecond, 2000)
 	for _, c := range []struct {
@@ -24,7 +24,7 @@
 			t.Errorf("Wait(%d) = %v, want %v", c.need, got, c.want)
 		}
 	}
-	var none Frees
+	var none Releases
 	if got := none.Wait(1); got != Never {
 		t.Errorf("a worker where nothing ends: %v, want %v", got, Never)
 	}
--- a/dispatch/runner/queue.go
+++ b/dispatch/runner/queue.go
@@ -57,8 +57,8 @@
 
 // releaseForecast predicts when capacity becomes free, from the progress of the runs or, before
 // they show any, from their estimates.
-func (r *Runner) releaseForecast(now time.Time) *forecast.Frees {
-	var f forecast.Frees
+func (r *Runner) releaseForecast(now time.Time) *forecast.Releases {
+	var f forecast.Releases
 	for _, x := range r.runList {
 		if x.phase == queued || x.phase == unfenced || x.orphaned {
 			continue
