--- a/dispatch/tally/tally.go
+++ b/dispatch/tally/tally.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// SettleFor is how long a job must have waited to be counted. Most jobs start sooner, and
+	// MinWait is how long a job must have waited to be counted. Most jobs start sooner, and
 	// reporting them would cost more than they do.
-	SettleFor = 500 * time.Millisecond
+	MinWait = 500 * time.Millisecond
 	// retention is how long a record counts that isn't renewed: its entry may have ended.
 	retention = 2 * time.Second
 	// renewInterval is how often an entry sends counts that have not changed.
@@ -126,8 +126,8 @@
 	return out
 }
 
-// Others returns the number of jobs of a queue that wait at other entries.
-func (v *View) Others(now time.Time, queue string) (n int) {
+// CountElsewhere returns the number of jobs of a queue that wait at other entries.
+func (v *View) CountElsewhere(now time.Time, queue string) (n int) {
 	v.forget(now)
 	for _, h := range v.others {
 		for _, c := range h.Counts {
--- a/dispatch/tally/tally_test.go
+++ b/dispatch/tally/tally_test.go
@@ -14,17 +14,17 @@
 	b.SetOwn(start, map[string]int{"q": 2})
 	b.Merge(start, a.Records(start))
 	c.Merge(start, b.Records(start))
-	if got := c.Others(start, "q"); got != 5 {
+	if got := c.CountElsewhere(start, "q"); got != 5 {
 		t.Errorf("%d jobs wait, want 5", got)
 	}
-	if got := b.Others(start, "q"); got != 3 {
+	if got := b.CountElsewhere(start, "q"); got != 3 {
 		t.Errorf("%d jobs wait at others, want 3", got)
 	}
 	later := start.Add(100 * time.Millisecond)
 	a.SetOwn(later, nil)
 	c.Merge(later, a.Records(later))
 	c.Merge(later, b.Records(later)) // with the earlier record
-	if got := c.Others(later, "q"); got != 2 {
+	if got := c.CountElsewhere(later, "q"); got != 2 {
 		t.Errorf("%d jobs wait after one entry's have begun, want 2", got)
 	}
 }
@@ -35,14 +35,14 @@
 	a.SetOwn(start, map[string]int{"q": 3})
 	b.Merge(start, a.Records(start))
 	for at := start; at.Before(start.Add(3 * retention)); at = at.Add(renewInterval) {
-		if got := b.Others(at, "q"); got != 3 {
+		if got := b.CountElsewhere(at, "q"); got != 3 {
 			t.Fatalf("%d jobs wait after %v, while the entry reports 3", got, at.Sub(start))
 		}
 		a.SetOwn(at.Add(renewInterval), map[string]int{"q": 3})
 		b.Merge(at.Add(renewInterval), a.Records(at.Add(renewInterval)))
 	}
 	gone := start.Add(4 * retention)
-	if got := b.Others(gone, "q"); got != 0 || len(b.Records(gone)) != 0 {
+	if got := b.CountElsewhere(gone, "q"); got != 0 || len(b.Records(gone)) != 0 {
 		t.Errorf("%d jobs wait at an entry that has ended", got)
 	}
 }
--- a/node/dispatcher/peers.go
+++ b/node/dispatcher/peers.go
@@ -84,7 +84,7 @@
 			time.Sleep(notifyDelay)
 		case <-t.C:
 			p.updateView(func(now time.Time) { p.view.Tick(now) })
-			p.countWaiting(p.d.waitingLocal(tally.SettleFor))
+			p.countWaiting(p.d.waitingLocal(tally.MinWait))
 		case <-ctx.Done():
 		}
 	}
--- a/node/dispatcher/waiting.go
+++ b/node/dispatcher/waiting.go
@@ -13,7 +13,7 @@
 func (p *peers) waiting(queue string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tally.Others(clock.Now(), queue)
+	return p.tally.CountElsewhere(clock.Now(), queue)
 }
 
 // countWaiting records, by queue, how many jobs have waited here for the minimum time.
