--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -132,8 +132,8 @@
 	if o.Link == (link.Options{}) {
 		o.Link = p.Link
 	}
-	o.OverbookAfter = cmp.Or(o.OverbookAfter, p.OverbookAfter)
-	o.ExchangeAfter = cmp.Or(o.ExchangeAfter, p.ExchangeAfter)
+	o.OverbookAfter = cmp.Or(o.OverbookAfter, p.OverbookDelay)
+	o.ExchangeAfter = cmp.Or(o.ExchangeAfter, p.MinExchangeInterval)
 	o.MessageCost = cmp.Or(o.MessageCost, p.MessageCost)
 }
 
--- a/dispatch/preset/preset.go
+++ b/dispatch/preset/preset.go
@@ -21,12 +21,12 @@
 	// MaxQueued is how many units of an entry may wait at an agent. A start that is refused for
 	// lack of a slot is placed elsewhere a round trip later, for two more messages.
 	MaxQueued int
-	// ExchangeAfter is the least interval between exchanges that an entry requests when
+	// MinExchangeInterval is the least interval between exchanges that an entry requests when
 	// its share of a contract holds up work.
-	ExchangeAfter time.Duration
-	// OverbookAfter is how long tasks wait for a spare slot before some are sent to
+	MinExchangeInterval time.Duration
+	// OverbookDelay is how long tasks wait for a spare slot before some are sent to
 	// wait at agents.
-	OverbookAfter time.Duration
+	OverbookDelay time.Duration
 	// MessageCost is the delay of a task's end that is accepted to save one message.
 	MessageCost time.Duration
 }
@@ -34,7 +34,7 @@
 // Response uses more messages to answer sooner, and detects unresponsive connections within
 // half a second.
 func Response() Preset {
-	return Preset{Name: NameResponse, Link: link.Options{}.WithDefaults(), MaxQueued: 1, OverbookAfter: 5 * time.Millisecond, ExchangeAfter: 50 * time.Millisecond, MessageCost: time.Millisecond}
+	return Preset{Name: NameResponse, Link: link.Options{}.WithDefaults(), MaxQueued: 1, OverbookDelay: 5 * time.Millisecond, MinExchangeInterval: 50 * time.Millisecond, MessageCost: time.Millisecond}
 }
 
 // Messages saves messages: acknowledgements wait for frames that are sent anyway, and a
@@ -46,7 +46,7 @@
 			AckDelay: 2 * time.Second, AckTimeout: 3 * time.Second,
 			Heartbeat: 10 * time.Second, HeartbeatTimeout: 24 * time.Second,
 		},
-		MaxQueued: 8, OverbookAfter: 150 * time.Millisecond, ExchangeAfter: 500 * time.Millisecond, MessageCost: 5 * time.Millisecond,
+		MaxQueued: 8, OverbookDelay: 150 * time.Millisecond, MinExchangeInterval: 500 * time.Millisecond, MessageCost: 5 * time.Millisecond,
 	}
 }
 
