--- a/dispatch/dispatcher/late.go
+++ b/dispatch/dispatcher/late.go
@@ -52,7 +52,7 @@
 	if d.opts.Disabled.Has(without.LateWork) {
 		return false
 	}
-	if d.opts.Disabled.Has(without.LateYield) {
+	if d.opts.Disabled.Has(without.LateCompletion) {
 		return true
 	}
 	return d.startsAsPredicted(now) && d.lateCompletion.value(now) >= minLateCompletion
--- a/dispatch/leasedcheck/load_test.go
+++ b/dispatch/leasedcheck/load_test.go
@@ -78,7 +78,7 @@
 	t.Parallel()
 	enabled := overloadResult()
 	score := func(r LoadResult) float64 { return r.Value - r.share(heldWithoutAnswer) }
-	for name, feature := range map[string]without.Set{"margin": without.Margin, "late-yield": without.LateYield} {
+	for name, feature := range map[string]without.Set{"margin": without.WaitMargin, "late-yield": without.LateCompletion} {
 		o := fleet
 		o.Disabled = feature
 		if r := runSeeds(o, overload); score(r) >= score(enabled) {
--- a/dispatch/runner/queue.go
+++ b/dispatch/runner/queue.go
@@ -110,7 +110,7 @@
 			next = x
 		}
 	}
-	if r.opts.Without.Has(without.Ahead) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
+	if r.opts.Without.Has(without.Backfill) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
 		return head
 	}
 	frees := r.releaseForecast(now)
--- a/dispatch/without/without.go
+++ b/dispatch/without/without.go
@@ -36,16 +36,16 @@
 	Abandonment
 	// Expedite: agents report immediately while work waits at an entry.
 	Expedite
-	// Ahead: less urgent work is started ahead of more urgent work that has time.
-	Ahead
+	// Backfill: less urgent work is started ahead of more urgent work that has time.
+	Backfill
 	// StartBy: what waits at a worker is ordered by latest start; if disabled, by arrival.
 	StartBy
 	// OrderWaitLimit: an order that waits longer than predicted is offered elsewhere.
 	OrderWaitLimit
-	// Margin: admission allows for the recent error of predicted waits.
-	Margin
-	// LateYield: late work is admitted only while most of it is completed.
-	LateYield
+	// WaitMargin: admission allows for the recent error of predicted waits.
+	WaitMargin
+	// LateCompletion: late work is admitted only while most of it is completed.
+	LateCompletion
 	// Invitations: an entry whose own agents lack capacity or a label requests others.
 	Invitations
 )
--- a/dispatch/without/without_test.go
+++ b/dispatch/without/without_test.go
@@ -12,7 +12,7 @@
 			t.Errorf("%s: %v, %v, want bit %d", name, got, err, i)
 		}
 	}
-	if got, err := Parse([]string{"ahead", "late-work"}); err != nil || !got.Has(Ahead) || !got.Has(LateWork) || got.Has(Moves) {
+	if got, err := Parse([]string{"ahead", "late-work"}); err != nil || !got.Has(Backfill) || !got.Has(LateWork) || got.Has(Moves) {
 		t.Errorf("%v, %v", got, err)
 	}
 	if _, err := Parse([]string{"tracing"}); !errorx.IsOfType(err, ErrUnknown) {
