--- a/dispatch/dispatcher/crash.go
+++ b/dispatch/dispatcher/crash.go
@@ -187,7 +187,7 @@
 
 // handleLoss decides on a task whose run has ended without a result.
 func (d *Dispatcher) handleLoss(now time.Time, t *task, at *agent, reason string) {
-	if reason != runner.ReasonCrashed && reason != runner.ReasonCrashedLater {
+	if reason != runner.ReasonCrashedAtStart && reason != runner.ReasonCrashedLater {
 		d.requeue(t.job, t)
 		return
 	}
@@ -198,7 +198,7 @@
 		d.answer(now, t.job, Answer{Outcome: Failed, Reason: ReasonCrashes, Permanent: true})
 		return
 	}
-	if reason == runner.ReasonCrashed {
+	if reason == runner.ReasonCrashedAtStart {
 		t.avoid = append(t.avoid, at)
 	}
 	d.requeue(t.job, t)
--- a/dispatch/dispatcher/crash_test.go
+++ b/dispatch/dispatcher/crash_test.go
@@ -15,7 +15,7 @@
 	for _, o := range a.orders {
 		reason := runner.ReasonCrashedLater
 		if slices.Contains(atStart, o) {
-			reason = runner.ReasonCrashed
+			reason = runner.ReasonCrashedAtStart
 		}
 		f.News = append(f.News, &pb.OrderNews{Number: o.Number, State: pb.OrderState_ORDER_STATE_LOST, Reason: reason})
 		f.Crashes = append(f.Crashes, &pb.TaskCrash{Task: o.Task, Worker: "life-" + a.incarnation, AtStart: slices.Contains(atStart, o), Alone: len(atStart) == 1 && atStart[0] == o})
--- a/dispatch/dispatcher/dispatcher_test.go
+++ b/dispatch/dispatcher/dispatcher_test.go
@@ -464,7 +464,7 @@
 	o := b.orders()[len(b.orders())-1]
 	b.advance(100 * time.Millisecond)
 	b.agents["a-1"].used = 5000 // full even without this order
-	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaitTimeout, 0)
 	b.wantAnswer(m, NotRun, ReasonNoFreeWorker)
 }
 
@@ -584,7 +584,7 @@
 	b.advance(b.times.RunsOver + 50*time.Millisecond)
 	second := b.agents["b-1"].orders[0]
 	b.agents["b-1"].used = 4000
-	b.reportOrder(second, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
+	b.reportOrder(second, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaitTimeout, 0)
 	b.advance(10 * time.Second)
 	if a, ok := b.answers[n]; !ok || a.Outcome != Unknown {
 		t.Errorf("answer %+v (%v), want unknown", a, ok)
--- a/dispatch/dispatcher/evacuate_test.go
+++ b/dispatch/dispatcher/evacuate_test.go
@@ -52,7 +52,7 @@
 	n := b.mustSubmit(tasks(1, 1000, 100*time.Millisecond))
 	hall := b.attachIn("hall", "b")
 	b.evacuate(5, "shed")
-	b.reportOrder(shed.orders[0], pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonHeld, 0)
+	b.reportOrder(shed.orders[0], pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonNotAccepting, 0)
 	if len(hall.orders) != 1 {
 		t.Fatal("the task was not placed elsewhere")
 	}
--- a/dispatch/dispatcher/late_test.go
+++ b/dispatch/dispatcher/late_test.go
@@ -103,7 +103,7 @@
 	if _, ok := b.answers[n]; ok {
 		t.Fatal("answered while its order waits")
 	}
-	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaitTimeout, 0)
 	b.wantAnswer(n, NotRun, ReasonNoFreeWorker)
 }
 
@@ -145,7 +145,7 @@
 			b := newFixture(t, "a", "b", "c")
 			b.mustSubmit(tasks(9, 1000, 100*time.Millisecond))
 			for _, a := range c.agents {
-				b.reportOrder(b.agents[a].orders[0], pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonLate, 0)
+				b.reportOrder(b.agents[a].orders[0], pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonStaleOrder, 0)
 			}
 			_, refused := b.submit(tasks(1, 500, 100*time.Millisecond))
 			if got := refused != nil && refused.Reason == ReasonLagging; got != c.refused {
--- a/dispatch/dispatcher/margin_test.go
+++ b/dispatch/dispatcher/margin_test.go
@@ -16,7 +16,7 @@
 	b.mustSubmit(tasks(1, 1000, 900*time.Millisecond))
 	for range 5 {
 		b.advance(60 * time.Millisecond)
-		b.reportOrder(b.orders()[0], pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
+		b.reportOrder(b.orders()[0], pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaitTimeout, 0)
 	}
 	// Five samples of a fifth each have brought it most of the way.
 	if got := b.d.waitMargins["q"].value(b.now); got < 100*time.Millisecond {
--- a/dispatch/dispatcher/orders.go
+++ b/dispatch/dispatcher/orders.go
@@ -102,11 +102,11 @@
 	case runner.ReasonOldRun:
 		// Another entry has run the task before, for the caller's earlier attempt.
 		t.lastRun += runNumberStep
-	case runner.ReasonLate:
+	case runner.ReasonStaleOrder:
 		d.recordStaleOrder(now, a)
-	case runner.ReasonRoom, runner.ReasonWaited:
+	case runner.ReasonNoCapacity, runner.ReasonWaitTimeout:
 		d.recordOngoingWait(now, t)
-	case runner.ReasonStopped, runner.ReasonHeld:
+	case runner.ReasonStopped, runner.ReasonNotAccepting:
 	default:
 		if a.session.IsUp() {
 			t.avoid = append(t.avoid, a)
--- a/dispatch/leasedcheck/links.go
+++ b/dispatch/leasedcheck/links.go
@@ -100,7 +100,7 @@
 	c := &conn{w: a.w, a: a, e: e, agentIncarnation: a.incarnation, epoch: a.epoch, agentOpen: true}
 	a.conns[e.index] = c
 	previous := a.entryIncarnations[e.index]
-	a.decide(func(now time.Time) { a.core.Closing(now, previous) })
+	a.decide(func(now time.Time) { a.core.CloseLink(now, previous) })
 	greeting := a.core.Greeting(a.epoch)
 	dialedAt := a.w.now
 	a.after(400*time.Millisecond, func() {
@@ -160,7 +160,7 @@
 func (a *agentNode) entryEnded(e *entryNode, incarnation string) {
 	a.entryIncarnations[e.index] = ""
 	if incarnation != "" {
-		a.decide(func(now time.Time) { a.core.EntryGone(now, incarnation, "gone") })
+		a.decide(func(now time.Time) { a.core.EntryEnded(now, incarnation, "gone") })
 	}
 }
 
--- a/dispatch/leasedcheck/nodes.go
+++ b/dispatch/leasedcheck/nodes.go
@@ -186,14 +186,14 @@
 		domain = domainName(a.index)
 	}
 	a.core = runner.New(runner.Options{
-		Agent: a.name, Incarnation: a.incarnationName(a.incarnation), FailureDomain: domain, Timeouts: a.w.times, Link: a.w.link, Token: a.token, Without: a.w.o.Disabled,
-		Decided: func(d runner.Decision) {
+		Agent: a.name, Incarnation: a.incarnationName(a.incarnation), FailureDomain: domain, Timeouts: a.w.times, Link: a.w.link, Token: a.token, Disabled: a.w.o.Disabled,
+		OnDecision: func(d runner.Decision) {
 			a.w.trace("%s %s task %s run %d of %s: %s", a.name, d.Event, d.Task, d.Run, d.Entry, d.Reason)
 		},
 	})
 	if a.recordedWorker.ID != "" && a.incarnation%2 == 1 {
 		// Only every other process reads the record: the store may be unavailable.
-		a.after(a.w.latency(), func() { a.decide(func(now time.Time) { a.core.Recalled(now, a.recordedWorker) }) })
+		a.after(a.w.latency(), func() { a.decide(func(now time.Time) { a.core.RestoreWorker(now, a.recordedWorker) }) })
 	}
 	a.wanted = make([]bool, n)
 	links := n
@@ -218,7 +218,7 @@
 	for _, s := range r.Stops {
 		a.worker.callStop(a, s)
 	}
-	if r.Look {
+	if r.Poll {
 		a.poll(false)
 	}
 	for _, o := range r.Frames {
@@ -231,7 +231,7 @@
 			}
 		}
 	}
-	for _, incarnation := range append(r.Redial, r.Closed...) {
+	for _, incarnation := range append(r.Reconnect, r.Disconnect...) {
 		for i, c := range a.linked {
 			if c != nil && a.entryIncarnations[i] == incarnation {
 				c.closeByAgent()
@@ -262,8 +262,8 @@
 	a.run(a.incarnation, func() {
 		a.dial(newEntry)
 		a.decide(func(now time.Time) {
-			a.core.Retire(now, a.entryIncarnations[oldEntry.index])
-			a.core.Keep(now, a.entryIncarnations[newEntry.index])
+			a.core.RetireLink(now, a.entryIncarnations[oldEntry.index])
+			a.core.KeepLink(now, a.entryIncarnations[newEntry.index])
 		})
 	})
 }
@@ -271,7 +271,7 @@
 // poll polls the worker once. A waiting poll is followed by the next one.
 func (a *agentNode) poll(waiting bool) {
 	a.w.frames.polls++
-	l, ok := a.core.NextLook(a.w.now, waiting)
+	l, ok := a.core.NextPoll(a.w.now, waiting)
 	if !ok {
 		if waiting {
 			a.after(50*time.Millisecond, func() { a.poll(true) })
--- a/dispatch/leasedcheck/worker.go
+++ b/dispatch/leasedcheck/worker.go
@@ -61,11 +61,11 @@
 
 // identity returns the incarnation that messages name: a new identifier for each one, or
 // one stable identifier with the start time.
-func (s *simWorker) identity() runner.Life {
+func (s *simWorker) identity() runner.Incarnation {
 	if s.w.o.WorkerRestarts {
-		return runner.Life{ID: fmt.Sprintf("w%d", s.a.index), Born: s.startedAt.UnixMilli()}
+		return runner.Incarnation{ID: fmt.Sprintf("w%d", s.a.index), StartUnixMs: s.startedAt.UnixMilli()}
 	}
-	return runner.Life{ID: s.id()}
+	return runner.Incarnation{ID: s.id()}
 }
 
 // receiver returns the incarnation that a call reaches: with a stable identifier the
@@ -110,11 +110,11 @@
 	}
 	s.reportSequence++
 	report := runner.Worker{
-		Life: s.identity(), Service: "s", Capacity: size.Size{CPUMillis: s.capacity, MemoryMB: 1 << 20}, Draining: s.draining, Sequence: s.reportSequence,
+		Incarnation: s.identity(), Service: "s", Capacity: size.Size{CPUMillis: s.capacity, MemoryMB: 1 << 20}, Draining: s.draining, Sequence: s.reportSequence,
 	}
 	s.a.run(s.a.incarnation, func() {
 		s.a.decide(func(now time.Time) {
-			if s.a.core.Reported(now, report) {
+			if s.a.core.HandleReport(now, report) {
 				s.a.recordedWorker = report
 			}
 		})
@@ -217,7 +217,7 @@
 	delete(s.runs, task)
 	s.highestRun[task] = max(s.highestRun[task], r.run)
 	s.lastEnd++
-	s.ends = append(s.ends, runner.End{Number: s.lastEnd, Task: task, Run: r.run, How: how})
+	s.ends = append(s.ends, runner.End{Number: s.lastEnd, Task: task, Run: r.run, Ending: how})
 	s.w.checker.runEnded(s, task)
 	if how == runner.EndedDone {
 		s.w.checker.succeeded[task] = true
@@ -250,7 +250,7 @@
 func (s *simWorker) start(c runner.Start) runner.StartVerdict {
 	switch {
 	case c.Worker.ID != s.identity().ID:
-		return runner.OtherLife
+		return runner.OtherIncarnation
 	case c.Token < s.token:
 		return runner.Fenced
 	}
@@ -318,7 +318,7 @@
 	})
 }
 
-func (s *simWorker) callPoll(a *agentNode, l runner.Look, waiting bool) {
+func (s *simWorker) callPoll(a *agentNode, l runner.Poll, waiting bool) {
 	next := func() {
 		if waiting {
 			a.poll(true)
@@ -330,11 +330,11 @@
 			return
 		}
 		responded = true
-		seen := runner.Seen{Born: s.identity().Born, Clock: s.clock(), Ended: append([]runner.End(nil), s.ends...)}
+		seen := runner.PollAnswer{StartUnixMs: s.identity().StartUnixMs, Clock: s.clock(), Ended: append([]runner.End(nil), s.ends...)}
 		for _, task := range sortedKeys(s.runs) {
 			r := s.runs[task]
 			percent := int(100 * s.w.now.Sub(r.startedAt) / r.runTime)
-			seen.Running = append(seen.Running, runner.Row{Task: task, Run: r.run, Percent: min(percent, 99)})
+			seen.Running = append(seen.Running, runner.ListedRun{Task: task, Run: r.run, Percent: min(percent, 99)})
 		}
 		lost := s.w.now.Before(s.lossyUntil) && s.w.chance(0.2)
 		s.w.schedule(s.w.jitter(time.Millisecond), func() {
@@ -343,7 +343,7 @@
 			}
 			a.run(incarnation, func() {
 				if a.claimPoll(&incarnation) {
-					a.decide(func(now time.Time) { a.core.Looked(now, l, seen) })
+					a.decide(func(now time.Time) { a.core.PollAnswered(now, l, seen) })
 					next()
 				}
 			})
@@ -351,7 +351,7 @@
 	}
 	a.after(l.Wait+l.Slack, func() {
 		if a.claimPoll(&incarnation) {
-			a.decide(func(now time.Time) { a.core.LookFailed(now, l, false) })
+			a.decide(func(now time.Time) { a.core.PollFailed(now, l, false) })
 			a.after(20*time.Millisecond, next)
 		}
 	})
@@ -365,7 +365,7 @@
 		case !s.up && s.w.chance(0.7), s.up && l.Worker.ID != s.identity().ID:
 			a.run(incarnation, func() {
 				if a.claimPoll(&incarnation) {
-					a.decide(func(now time.Time) { a.core.LookFailed(now, l, true) })
+					a.decide(func(now time.Time) { a.core.PollFailed(now, l, true) })
 					a.after(20*time.Millisecond, next)
 				}
 			})
@@ -375,7 +375,7 @@
 		case l.Token < s.token:
 			a.run(incarnation, func() {
 				if a.claimPoll(&incarnation) {
-					a.decide(func(now time.Time) { a.core.LookFenced(now, l, s.clock()) })
+					a.decide(func(now time.Time) { a.core.PollFenced(now, l, s.clock()) })
 					a.after(20*time.Millisecond, next)
 				}
 			})
@@ -383,7 +383,7 @@
 		}
 		s.token = l.Token
 		s.extendLease(l.Until)
-		for len(s.ends) > 0 && s.ends[0].Number <= l.Seen {
+		for len(s.ends) > 0 && s.ends[0].Number <= l.LastEnd {
 			s.ends = s.ends[1:]
 		}
 		if l.Wait == 0 || len(s.ends) > 0 {
--- a/dispatch/runner/crash.go
+++ b/dispatch/runner/crash.go
@@ -43,7 +43,7 @@
 		case r.worker.Draining:
 			return how
 		case r.crashedAtStart(x):
-			return ReasonCrashed
+			return ReasonCrashedAtStart
 		}
 		return ReasonCrashedLater
 	})
@@ -75,7 +75,7 @@
 		if x.phase == queued || x.phase == unfenced || x.orphaned {
 			continue
 		}
-		m := &pb.TaskCrash{Task: x.task, Worker: r.worker.Life.String(), AtStart: r.crashedAtStart(x)}
+		m := &pb.TaskCrash{Task: x.task, Worker: r.worker.Incarnation.String(), AtStart: r.crashedAtStart(x)}
 		switch {
 		case unanswered(x):
 			unconfirmed = append(unconfirmed, m)
--- a/dispatch/runner/delay_test.go
+++ b/dispatch/runner/delay_test.go
@@ -47,7 +47,7 @@
 	if got := h.ready().Starts; len(got) != 0 {
 		t.Errorf("%d starts of stale orders", len(got))
 	}
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonLate)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonStaleOrder)
 }
 
 // The two clocks drift. An old clock difference must not make frames seem delayed, or on time,
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -97,9 +97,9 @@
 	return g
 }
 
-// Closing records that this side closes the link to an entry before it opens a new one. No
+// CloseLink records that this side closes the link to an entry before it opens a new one. No
 // frame of the old link may be handled afterwards.
-func (r *Runner) Closing(now time.Time, incarnation string) {
+func (r *Runner) CloseLink(now time.Time, incarnation string) {
 	if e := r.entry(incarnation); e != nil && e.session.IsUp() {
 		e.session.Down()
 		e.downAt = now
@@ -141,9 +141,9 @@
 	}
 }
 
-// EntryGone records that an entry's process has ended, and stops its runs: nobody waits for
+// EntryEnded records that an entry's process has ended, and stops its runs: nobody waits for
 // them.
-func (r *Runner) EntryGone(now time.Time, incarnation, why string) {
+func (r *Runner) EntryEnded(now time.Time, incarnation, why string) {
 	e := r.entry(incarnation)
 	if e == nil {
 		return
@@ -194,7 +194,7 @@
 		}
 	}
 	if f.Ended {
-		r.EntryGone(now, incarnation, "the entry has ended")
+		r.EntryEnded(now, incarnation, "the entry has ended")
 	}
 }
 
@@ -226,7 +226,7 @@
 		deadline:  now.Add(time.Duration(o.LimitMs) * time.Millisecond),
 		startBy:   now.Add(time.Duration(o.StartByMs) * time.Millisecond), late: o.StartByMs < 0,
 	}
-	if r.opts.Without.Has(without.StartBy) {
+	if r.opts.Disabled.Has(without.StartBy) {
 		x.startBy = now
 	}
 	if reason := r.refusalReason(now, x, delay); reason != "" {
@@ -250,13 +250,13 @@
 	case delay > r.opts.Timeouts.MaxLate:
 		// A network cut or a freeze delayed the order. Its entry has abandoned it by now, and
 		// the caller may have sent the job to another entry.
-		return ReasonLate
+		return ReasonStaleOrder
 	case r.heldReasonFor(x.entry) != HeldNone:
-		return ReasonHeld
+		return ReasonNotAccepting
 	case r.runs[x.task] != nil:
 		return ReasonAlreadyRunning
 	case r.mustWait(x) && !r.mayWait(now, x):
-		return ReasonRoom
+		return ReasonNoCapacity
 	}
 	return ""
 }
@@ -266,14 +266,14 @@
 	for _, e := range slices.Clone(r.entries) {
 		if e.session.Silent(now) {
 			r.logDecision(now, Decision{Event: "entry_silent", Entry: e.name, Reason: "no frame or acknowledgement in time"})
-			r.ready.Redial = append(r.ready.Redial, e.incarnation)
+			r.ready.Reconnect = append(r.ready.Reconnect, e.incarnation)
 			e.session.Down()
 			e.downAt = now
 		}
 		if r.timedOut(now, e) && r.hasWantedRuns(e) {
 			r.stopRunsOf(now, e, "nothing received from the entry in time")
 			if e.session.IsUp() {
-				r.ready.Redial = append(r.ready.Redial, e.incarnation)
+				r.ready.Reconnect = append(r.ready.Reconnect, e.incarnation)
 				e.session.Down()
 				e.downAt = now
 			}
@@ -353,7 +353,7 @@
 	}
 	e.unsent, e.flushNow, e.flushBy = nil, false, time.Time{}
 	f.Clock = r.opts.Events.Stamp(now)
-	r.ready.Frames = append(r.ready.Frames, Out{Entry: e.incarnation, Epoch: e.session.Epoch(), Frame: f})
+	r.ready.Frames = append(r.ready.Frames, OutgoingFrame{Entry: e.incarnation, Epoch: e.session.Epoch(), Frame: f})
 }
 
 // heldReasonFor returns why no order of an entry may start.
@@ -371,7 +371,7 @@
 	if r.known {
 		s.Worker, s.Service, s.Labels = r.worker.ID, r.worker.Service, r.worker.Labels
 		s.Capacity, s.Room = r.worker.Capacity.Message(), r.freeCapacity().Room()
-		s.ColdMs = uint32(r.worker.Cold.Milliseconds())
+		s.ColdMs = uint32(r.worker.ColdStart.Milliseconds())
 		s.Queued = r.queuedWork()
 		for _, cpu := range r.releaseForecast(now) {
 			s.Frees = append(s.Frees, uint32(cpu))
--- a/dispatch/runner/evacuate_test.go
+++ b/dispatch/runner/evacuate_test.go
@@ -26,14 +26,14 @@
 	h.begin("e1", "t1", 3500)
 	h.order("e1", "t2", 3500, waits(60_000))
 	h.evacuations("e1", 5, "shed")
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	if len(h.last.Stops) != 0 {
 		t.Error("the run was stopped")
 	}
 	h.end("t1", EndedDone)
 	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_DONE, "")
 	h.order("e2", "t3", 1000)
-	h.wantNews("e2", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e2", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	for _, e := range []string{"e1", "e2"} {
 		if s := h.states[e]; s.Accepting || s.Held != HeldEvacuated {
 			t.Errorf("%s received: accepting %v, held %q", e, s.Accepting, s.Held)
@@ -75,7 +75,7 @@
 		Entry: "e1", Incarnation: "e1", Evacuations: &pb.Evacuations{Revision: 5, Domains: []string{"shed"}},
 	}, 1, h.now.UnixNano())
 	h.order("e1", "t1", 1000)
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 }
 
 // A start is left unanswered, and the domain is evacuated before a poll shows whether the run
--- a/dispatch/runner/incarnation.go
+++ b/dispatch/runner/incarnation.go
@@ -10,21 +10,21 @@
 	"github.com/papayahoist/papayahoist/dispatch/size"
 )
 
-// Life identifies one incarnation of a worker. A worker may start again under the same
+// Incarnation identifies one incarnation of a worker. A worker may start again under the same
 // identifier; it then has no state of its earlier incarnation, and its clock and all its
 // counters start anew.
-type Life struct {
+type Incarnation struct {
 	ID string
-	// Born is when the incarnation started, in Unix milliseconds. It is zero where workers
+	// StartUnixMs is when the incarnation started, in Unix milliseconds. It is zero where workers
 	// don't state it and have a new identifier in each incarnation.
-	Born int64
+	StartUnixMs int64
 }
 
-func (l Life) String() string {
-	if l.Born == 0 {
+func (l Incarnation) String() string {
+	if l.StartUnixMs == 0 {
 		return l.ID
 	}
-	return l.ID + "@" + strconv.FormatInt(l.Born, 10)
+	return l.ID + "@" + strconv.FormatInt(l.StartUnixMs, 10)
 }
 
 // relation is how an incarnation relates to the current one.
@@ -39,31 +39,31 @@
 )
 
 // relate compares an incarnation that is named in a message with the current one.
-func (r *Runner) relate(l Life) relation {
-	k := r.worker.Life
+func (r *Runner) relate(l Incarnation) relation {
+	k := r.worker.Incarnation
 	switch {
 	case l == k:
 		return same
-	case k.Born == 0 && l.ID != k.ID, l.Born == k.Born:
+	case k.StartUnixMs == 0 && l.ID != k.ID, l.StartUnixMs == k.StartUnixMs:
 		return unrelated
-	case l.Born < k.Born:
+	case l.StartUnixMs < k.StartUnixMs:
 		return earlier
 	}
 	return later
 }
 
 // isCurrent reports whether a call was made to the current incarnation.
-func (r *Runner) isCurrent(l Life) bool { return r.known && l == r.worker.Life }
+func (r *Runner) isCurrent(l Incarnation) bool { return r.known && l == r.worker.Incarnation }
 
-// Reported handles a worker's report about itself. It returns false for a report of another
+// HandleReport handles a worker's report about itself. It returns false for a report of another
 // incarnation than the one that answers, and for one that is out of date.
-func (r *Runner) Reported(now time.Time, w Worker) bool {
-	if w.Born == 0 && r.worker.Born > 0 {
+func (r *Runner) HandleReport(now time.Time, w Worker) bool {
+	if w.StartUnixMs == 0 && r.worker.StartUnixMs > 0 {
 		// This worker states when it started, so the report isn't its own.
 		return false
 	}
 	if r.known {
-		switch r.relate(w.Life) {
+		switch r.relate(w.Incarnation) {
 		case same:
 			return r.updateWorker(now, w)
 		case earlier:
@@ -80,10 +80,10 @@
 	return true
 }
 
-// Recalled handles the worker incarnation that an earlier agent process has recorded. It is
+// RestoreWorker handles the worker incarnation that an earlier agent process has recorded. It is
 // used only until a report arrives. Nothing starts until the worker answers a poll as that
 // incarnation; an answer of another incarnation means that it is gone.
-func (r *Runner) Recalled(now time.Time, w Worker) {
+func (r *Runner) RestoreWorker(now time.Time, w Worker) {
 	if r.known {
 		return
 	}
@@ -119,7 +119,7 @@
 	for _, x := range slices.Clone(r.queue) {
 		// Ending one order may have started the next.
 		if x.phase == queued && r.mustWait(x) && !r.mayWait(now, x) {
-			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
 		}
 	}
 	r.startQueued(now)
@@ -135,17 +135,17 @@
 
 // adoptWorker makes an incarnation of a worker the current one.
 func (r *Runner) adoptWorker(now time.Time, w Worker, how string) {
-	restarted := w.Born > 0 && w.ID == r.worker.ID
+	restarted := w.StartUnixMs > 0 && w.ID == r.worker.ID
 	r.worker, r.known = w, true
 	r.polled, r.failedPolls, r.unresponsive, r.lastEndNumber, r.clock = false, 0, false, 0, 0
-	r.logDecision(now, Decision{Event: "worker_known", Reason: how + ": " + w.Life.String()})
+	r.logDecision(now, Decision{Event: "worker_known", Reason: how + ": " + w.Incarnation.String()})
 	if restarted {
 		r.fenceEarlierCalls()
 	} else {
 		// Delayed calls carry the old identifier, so this incarnation refuses them.
 		r.endUnfenced(now)
 	}
-	r.ready.Look = true
+	r.ready.Poll = true
 	r.markChanged()
 }
 
@@ -167,19 +167,19 @@
 // has, it becomes the worker's incarnation: the call reached it while the current one was
 // believed to be alive.
 func (r *Runner) checkIncarnation(now time.Time, startMs int64) bool {
-	if startMs == r.worker.Born {
+	if startMs == r.worker.StartUnixMs {
 		return true
 	}
 	r.handleSuperseded(now, "another incarnation of the worker answers")
-	r.worker.Born = startMs
+	r.worker.StartUnixMs = startMs
 	return false
 }
 
-// Left records that a worker has announced its end. The message names no incarnation, so where
+// HandleLeave records that a worker has announced its end. The message names no incarnation, so where
 // incarnations share an identifier it is applied only after the current one has reported that
 // it drains.
-func (r *Runner) Left(now time.Time, id string) {
-	if !r.known || r.worker.ID != id || r.worker.Born > 0 && !r.worker.Draining {
+func (r *Runner) HandleLeave(now time.Time, id string) {
+	if !r.known || r.worker.ID != id || r.worker.StartUnixMs > 0 && !r.worker.Draining {
 		return
 	}
 	r.workerGone(now, "the worker left", unanswered, func(*run) string { return "the worker left" })
@@ -215,7 +215,7 @@
 // that it was sent to: a later one has the same identifier and a clock of its own, so neither
 // the incarnation named in the call nor the end of its lease prevents it.
 func (r *Runner) mayStartLater(x *run) bool {
-	return r.worker.Born > 0 && !r.worker.Draining && !x.orphaned
+	return r.worker.StartUnixMs > 0 && !r.worker.Draining && !x.orphaned
 }
 
 // unanswered reports whether no answer shows which incarnation carried out a start, given that
--- a/dispatch/runner/incarnation_test.go
+++ b/dispatch/runner/incarnation_test.go
@@ -12,7 +12,7 @@
 const startMs = 1_700_000_000_000
 
 func worker(startMs int64, change ...func(*Worker)) Worker {
-	w := Worker{Life: Life{"w1", startMs}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Sequence: 1}
+	w := Worker{Incarnation: Incarnation{"w1", startMs}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Sequence: 1}
 	for _, f := range change {
 		f(&w)
 	}
@@ -22,7 +22,7 @@
 // newIncarnationHarness returns a harness with a worker that states when it started.
 func newIncarnationHarness(t *testing.T, entries ...string) *harness {
 	h := newHarness(t, entries...)
-	h.r.Reported(h.now, worker(startMs))
+	h.r.HandleReport(h.now, worker(startMs))
 	h.startMs = startMs
 	h.poll()
 	h.updates = map[string][]*pb.OrderNews{}
@@ -32,7 +32,7 @@
 // restartWorker has the worker start again under its identifier and report itself.
 func (h *harness) restartWorker(at int64) {
 	h.running, h.endNumber, h.startMs = map[string]uint32{}, 0, at
-	h.r.Reported(h.now, worker(at))
+	h.r.HandleReport(h.now, worker(at))
 	h.ready()
 }
 
@@ -53,15 +53,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newIncarnationHarness(t, "e1")
-			if got := h.r.Reported(h.now, c.report); got != c.want {
+			if got := h.r.HandleReport(h.now, c.report); got != c.want {
 				t.Errorf("accepted: %v, want %v", got, c.want)
 			}
 			want := worker(startMs)
 			if c.want {
 				want = c.report
 			}
-			if w, _ := h.r.Worker(); w.Life != want.Life || w.Sequence != want.Sequence {
-				t.Errorf("worker %v (report %d), want %v (%d)", w.Life, w.Sequence, want.Life, want.Sequence)
+			if w, _ := h.r.Worker(); w.Incarnation != want.Incarnation || w.Sequence != want.Sequence {
+				t.Errorf("worker %v (report %d), want %v (%d)", w.Incarnation, w.Sequence, want.Incarnation, want.Sequence)
 			}
 		})
 	}
@@ -97,8 +97,8 @@
 		t.Error("the earlier incarnation is still current")
 	}
 	h.order("e1", "t2", 1000)
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
-	if h.r.Reported(h.now, worker(0)) {
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
+	if h.r.HandleReport(h.now, worker(0)) {
 		t.Error("a report without start time was accepted")
 	}
 }
@@ -109,13 +109,13 @@
 	h := newIncarnationHarness(t, "e1")
 	h.begin("e1", "t1", 1000)
 	h.end("t1", EndedDone)
-	l, _ := h.r.NextLook(h.now, true)
-	if l.Seen != 1 {
-		t.Fatalf("seen %d, want 1", l.Seen)
+	l, _ := h.r.NextPoll(h.now, true)
+	if l.LastEnd != 1 {
+		t.Fatalf("seen %d, want 1", l.LastEnd)
 	}
 	h.failPolls()
-	if l, _ = h.r.NextLook(h.now, true); l.Seen != 0 {
-		t.Errorf("a poll of an unresponsive worker marks ends up to %d as seen", l.Seen)
+	if l, _ = h.r.NextPoll(h.now, true); l.LastEnd != 0 {
+		t.Errorf("a poll of an unresponsive worker marks ends up to %d as seen", l.LastEnd)
 	}
 }
 
@@ -133,8 +133,8 @@
 		t.Run(name, func(t *testing.T) {
 			h := newIncarnationHarness(t, "e1")
 			r := h.order("e1", "t1", 1000)
-			l, _ := h.r.NextLook(h.now, true)
-			h.r.LookFailed(h.now, l, true)
+			l, _ := h.r.NextPoll(h.now, true)
+			h.r.PollFailed(h.now, l, true)
 			h.wait(100 * time.Millisecond)
 			h.wantNoNews("e1", 1, pb.OrderState_ORDER_STATE_LOST)
 			h.restartWorker(startMs + 1000)
@@ -142,7 +142,7 @@
 			if c.carriedOut {
 				h.running["t1"] = 1
 			}
-			l, _ = h.r.NextLook(h.now, false)
+			l, _ = h.r.NextPoll(h.now, false)
 			if l.Token <= r.Starts[0].Token {
 				t.Errorf("token %d of the poll of the new incarnation doesn't fence a start with %d", l.Token, r.Starts[0].Token)
 			}
@@ -160,18 +160,18 @@
 func TestUnansweredStartIsLostWithUniqueIdentifier(t *testing.T) {
 	h := newHarness(t, "e1")
 	h.order("e1", "t1", 1000)
-	l, _ := h.r.NextLook(h.now, true)
-	h.r.LookFailed(h.now, l, true)
+	l, _ := h.r.NextPoll(h.now, true)
+	h.r.PollFailed(h.now, l, true)
 	h.ready()
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, ReasonCrashed)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, ReasonCrashedAtStart)
 }
 
 // The worker never returns: runs held for its next incarnation must not stay for ever.
 func TestUnansweredStartIsLostAfterTimeout(t *testing.T) {
 	h := newIncarnationHarness(t, "e1")
 	h.order("e1", "t1", 1000)
-	l, _ := h.r.NextLook(h.now, true)
-	h.r.LookFailed(h.now, l, true)
+	l, _ := h.r.NextPoll(h.now, true)
+	h.r.PollFailed(h.now, l, true)
 	h.wait(unfencedTimeout + time.Second)
 	if len(h.r.runs) > 0 {
 		t.Error("the run is still held")
@@ -182,16 +182,16 @@
 // restarted.
 func TestAnswersOfEarlierIncarnationAreIgnored(t *testing.T) {
 	h := newIncarnationHarness(t, "e1")
-	l, _ := h.r.NextLook(h.now, true)
+	l, _ := h.r.NextPoll(h.now, true)
 	h.restartWorker(startMs + 1000)
 	h.poll()
 	h.begin("e1", "t1", 1000)
-	h.r.Looked(h.now, l, Seen{Born: startMs, Clock: time.Hour, Ended: []End{{Number: 9, Task: "t1", Run: 1, How: EndedFailed}}})
-	h.r.LookFailed(h.now, l, true)
-	h.r.StartAnswered(h.now, Start{Worker: l.Worker, Task: "t1", Run: 1}, OtherLife, time.Hour, "")
+	h.r.PollAnswered(h.now, l, PollAnswer{StartUnixMs: startMs, Clock: time.Hour, Ended: []End{{Number: 9, Task: "t1", Run: 1, Ending: EndedFailed}}})
+	h.r.PollFailed(h.now, l, true)
+	h.r.StartAnswered(h.now, Start{Worker: l.Worker, Task: "t1", Run: 1}, OtherIncarnation, time.Hour, "")
 	h.ready()
 	h.wantNoNews("e1", 1, pb.OrderState_ORDER_STATE_FAILED, pb.OrderState_ORDER_STATE_LOST)
-	if next, _ := h.r.NextLook(h.now, false); next.Until > h.clock()+h.times.Lease {
+	if next, _ := h.r.NextPoll(h.now, false); next.Until > h.clock()+h.times.Lease {
 		t.Errorf("lease until %v, by the clock of an earlier incarnation; the worker's clock shows %v", next.Until, h.clock())
 	}
 }
@@ -200,12 +200,12 @@
 // one.
 func TestDelayedLeaveOfEarlierIncarnation(t *testing.T) {
 	h := newIncarnationHarness(t, "e1")
-	h.r.Left(h.now, "w1")
+	h.r.HandleLeave(h.now, "w1")
 	if _, known := h.r.Worker(); !known {
 		t.Error("a worker that isn't draining was considered gone")
 	}
-	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Draining = true }))
-	h.r.Left(h.now, "w1")
+	h.r.HandleReport(h.now, worker(startMs, func(w *Worker) { w.Draining = true }))
+	h.r.HandleLeave(h.now, "w1")
 	if _, known := h.r.Worker(); known {
 		t.Error("a draining worker's leave was not handled")
 	}
@@ -217,15 +217,15 @@
 	h.begin("e1", "t0", 3000)
 	h.order("e1", "large", 3500, waits(500))
 	h.order("e1", "small", 1500, waits(500))
-	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 3200 }))
+	h.r.HandleReport(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 3200 }))
 	h.ready()
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
 	h.wantNoNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED)
 	if got := h.states["e1"].Capacity.CpuMillis; got != 3200 {
 		t.Errorf("the entry received a capacity of %d", got)
 	}
 	h.order("e1", "other", 300)
-	h.wantNews("e1", 4, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.wantNews("e1", 4, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
 	h.end("t0", EndedDone)
 	if got := h.started(); len(got) != 1 || got[0] != "small/1" {
 		t.Errorf("started %v, want small", got)
@@ -237,16 +237,16 @@
 func TestRunsBeyondShrunkCapacityContinue(t *testing.T) {
 	h := newIncarnationHarness(t, "e1")
 	h.begin("e1", "t0", 3000)
-	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 1000 }))
+	h.r.HandleReport(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 1000 }))
 	h.ready()
 	if len(h.last.Stops) > 0 {
 		t.Error("a run was stopped")
 	}
 	h.order("e1", "t1", 500)
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
-	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity = size.Size{} }))
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
+	h.r.HandleReport(h.now, worker(startMs, func(w *Worker) { w.Capacity = size.Size{} }))
 	h.order("e1", "t2", 500)
-	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	h.end("t0", EndedDone)
 	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_DONE, "")
 }
@@ -256,7 +256,7 @@
 	h := newIncarnationHarness(t, "e1")
 	h.begin("e1", "t0", 3000)
 	h.order("e1", "t1", 3000, waits(500))
-	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 6000 }))
+	h.r.HandleReport(h.now, worker(startMs, func(w *Worker) { w.Capacity.CPUMillis = 6000 }))
 	h.ready()
 	if got := h.started(); len(got) != 1 || got[0] != "t1/1" {
 		t.Errorf("started %v, want t1", got)
@@ -272,18 +272,18 @@
 	h.poll()
 	h.begin("e1", "crashes", 1000)
 	h.wait(2 * startCrashWindow) // until it is noticed
-	l, _ := h.r.NextLook(h.now, true)
-	h.r.LookFailed(h.now, l, true)
+	l, _ := h.r.NextPoll(h.now, true)
+	h.r.PollFailed(h.now, l, true)
 	h.ready()
 	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, ReasonCrashedLater)
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_LOST, ReasonCrashed)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_LOST, ReasonCrashedAtStart)
 	h.r.LinkUp(h.now, h.now, &pb.EntryGreeting{Entry: "e3", Incarnation: "e3"}, 1, h.now.UnixNano())
 	frames := h.last.Frames
 	frames = append(frames, h.ready().Frames...)
 	reported := map[string]int{}
 	for _, f := range frames {
 		for _, c := range f.Frame.Crashes {
-			if culprit := c.Task == "crashes"; c.Worker != (Life{"w1", startMs}).String() || c.AtStart != culprit || c.Alone != culprit {
+			if culprit := c.Task == "crashes"; c.Worker != (Incarnation{"w1", startMs}).String() || c.AtStart != culprit || c.Alone != culprit {
 				t.Errorf("%s received %v", f.Entry, c)
 			}
 			reported[f.Entry]++
@@ -300,9 +300,9 @@
 func TestEndOfDrainingWorkerIsNoCrash(t *testing.T) {
 	h := newIncarnationHarness(t, "e1")
 	h.begin("e1", "t1", 1000)
-	h.r.Reported(h.now, worker(startMs, func(w *Worker) { w.Draining = true }))
-	l, _ := h.r.NextLook(h.now, true)
-	h.r.LookFailed(h.now, l, true)
+	h.r.HandleReport(h.now, worker(startMs, func(w *Worker) { w.Draining = true }))
+	l, _ := h.r.NextPoll(h.now, true)
+	h.r.PollFailed(h.now, l, true)
 	h.ready()
 	if len(h.r.crashes) > 0 {
 		t.Errorf("crashes %v", h.r.crashes)
@@ -338,9 +338,9 @@
 // the worker's own reports must not be rejected for ever.
 func TestWorkerWithoutStartTimeOutlivesFalseReport(t *testing.T) {
 	h := newHarness(t, "e1")
-	h.r.Reported(h.now, worker(startMs))
+	h.r.HandleReport(h.now, worker(startMs))
 	h.poll()
-	if !h.r.Reported(h.now, worker(0)) {
+	if !h.r.HandleReport(h.now, worker(0)) {
 		t.Fatal("its own report is not accepted")
 	}
 	h.poll()
--- a/dispatch/runner/poll.go
+++ b/dispatch/runner/poll.go
@@ -27,10 +27,10 @@
 	// pollsPerLease bounds the time between two polls of an idle worker: the lease of an order
 	// that starts just after one poll must be renewed by the next.
 	pollsPerLease = 2
-	// AnswerWithin is the timeout of a call to the worker on the same machine, which normally
+	// CallTimeout is the timeout of a call to the worker on the same machine, which normally
 	// takes a millisecond or two. Calls without an answer are followed up by polls, so a short
 	// timeout costs little, whereas a longer one delays tasks.
-	AnswerWithin = 40 * time.Millisecond
+	CallTimeout = 40 * time.Millisecond
 	// stallFactor is how many times longer than expected a run must take, at its pace so far,
 	// to be reported as stalled. Estimates alone are off by half in either direction.
 	stallFactor = 2.5
@@ -50,21 +50,21 @@
 	maxProgressAge = 20 * time.Millisecond
 )
 
-// LookVerdict is the outcome of a poll.
-type LookVerdict uint8
+// PollVerdict is the outcome of a poll.
+type PollVerdict uint8
 
 // Outcomes of polls.
 const (
-	LookAnswered LookVerdict = iota
-	LookUnanswered
-	// LookRefused means that nothing listens at the worker's address.
-	LookRefused
-	LookFenced
-	LookOtherLife
+	PollAnswered PollVerdict = iota
+	PollUnanswered
+	// PollRefused means that nothing listens at the worker's address.
+	PollRefused
+	PollFenced
+	PollOtherIncarnation
 )
 
-// Row is one run in the worker's list.
-type Row struct {
+// ListedRun is one run in the worker's list.
+type ListedRun struct {
 	Task    string
 	Run     uint32
 	Percent int
@@ -87,15 +87,15 @@
 	Number uint64
 	Task   string
 	Run    uint32
-	How    Ending
+	Ending    Ending
 }
 
-// Seen is the worker's answer to a poll.
-type Seen struct {
-	// Born is when the answering incarnation started, as in a worker's report.
-	Born    int64
+// PollAnswer is the worker's answer to a poll.
+type PollAnswer struct {
+	// StartUnixMs is when the answering incarnation started, as in a worker's report.
+	StartUnixMs    int64
 	Clock   time.Duration
-	Running []Row
+	Running []ListedRun
 	Ended   []End
 }
 
@@ -113,18 +113,18 @@
 	}
 }
 
-// NextLook returns the poll to make now, or false while no worker is known. Waiting polls,
+// NextPoll returns the poll to make now, or false while no worker is known. Waiting polls,
 // which the worker answers when a run ends, are made one after the other; other polls don't
 // wait for an end.
-func (r *Runner) NextLook(now time.Time, waiting bool) (Look, bool) {
+func (r *Runner) NextPoll(now time.Time, waiting bool) (Poll, bool) {
 	if !r.known {
-		return Look{}, false
+		return Poll{}, false
 	}
-	l := Look{Worker: r.worker.Life, Token: r.token, Seen: r.lastEndNumber, callSeq: r.callSeq, sent: now}
+	l := Poll{Worker: r.worker.Incarnation, Token: r.token, LastEnd: r.lastEndNumber, callSeq: r.callSeq, sent: now}
 	if r.unresponsive {
 		// The worker's next incarnation may answer. It numbers its ends anew, so none of them
 		// may be marked as seen.
-		l.Seen = 0
+		l.LastEnd = 0
 	}
 	if r.clock > 0 && !r.hasOrphaned() && !r.unresponsive {
 		// Leases are left to lapse for runs that can't be stopped: those of an earlier process,
@@ -153,9 +153,9 @@
 	return slices.ContainsFunc(r.runList, func(x *run) bool { return x.orphaned })
 }
 
-// Looked handles the answer to a poll.
-func (r *Runner) Looked(now time.Time, l Look, s Seen) {
-	if !r.isCurrent(l.Worker) || !r.checkIncarnation(now, s.Born) {
+// PollAnswered handles the answer to a poll.
+func (r *Runner) PollAnswered(now time.Time, l Poll, s PollAnswer) {
+	if !r.isCurrent(l.Worker) || !r.checkIncarnation(now, s.StartUnixMs) {
 		return
 	}
 	r.updateClock(now, s.Clock)
@@ -166,7 +166,7 @@
 		r.answeredPollSent = l.sent
 	}
 	if recovered {
-		r.logDecision(now, Decision{Event: "worker_answers", Reason: r.worker.Life.String()})
+		r.logDecision(now, Decision{Event: "worker_answers", Reason: r.worker.Incarnation.String()})
 	}
 	for _, e := range s.Ended {
 		r.handleEnd(now, e)
@@ -190,7 +190,7 @@
 	if x == nil || x.run != e.Run || x.phase == queued {
 		return
 	}
-	switch e.How {
+	switch e.Ending {
 	case EndedDone:
 		r.end(now, x, pb.OrderState_ORDER_STATE_DONE, "")
 	case EndedFailed:
@@ -203,7 +203,7 @@
 }
 
 // handleListed handles a run that the worker lists as running.
-func (r *Runner) handleListed(now time.Time, l Look, row Row) {
+func (r *Runner) handleListed(now time.Time, l Poll, row ListedRun) {
 	x := r.runs[row.Task]
 	if x != nil && x.run == row.Run {
 		x.listed = true
@@ -258,12 +258,12 @@
 // handleUnlisted handles the runs that a poll does not list although it began after their start
 // or stop was answered. Such a run has ended, and its end was recorded before, or it never
 // began.
-func (r *Runner) handleUnlisted(now time.Time, l Look, s Seen) {
+func (r *Runner) handleUnlisted(now time.Time, l Poll, s PollAnswer) {
 	for _, x := range slices.Clone(r.runList) {
 		if x.phase == queued || x.phase == starting || r.runs[x.task] != x || l.callSeq < x.callSeq {
 			continue
 		}
-		if slices.ContainsFunc(s.Running, func(row Row) bool { return row.Task == x.task && row.Run == x.run }) {
+		if slices.ContainsFunc(s.Running, func(row ListedRun) bool { return row.Task == x.task && row.Run == x.run }) {
 			continue
 		}
 		switch {
@@ -286,9 +286,9 @@
 	}
 }
 
-// LookFailed handles a poll without an answer. If refused is set, nothing listens at the
+// PollFailed handles a poll without an answer. If refused is set, nothing listens at the
 // worker's address: its process has ended.
-func (r *Runner) LookFailed(now time.Time, l Look, refused bool) {
+func (r *Runner) PollFailed(now time.Time, l Poll, refused bool) {
 	if !r.isCurrent(l.Worker) {
 		return
 	}
@@ -302,7 +302,7 @@
 	r.failedPolls++
 	r.lossyUntil = now.Add(lossyPeriod)
 	if r.failedPolls < maxFailedPolls && r.polled {
-		r.ready.Look = true
+		r.ready.Poll = true
 		return
 	}
 	if !r.unresponsive {
@@ -313,12 +313,12 @@
 	}
 }
 
-// LookFenced handles a poll that the worker refused because it knows a higher token.
-func (r *Runner) LookFenced(now time.Time, l Look, clock time.Duration) {
+// PollFenced handles a poll that the worker refused because it knows a higher token.
+func (r *Runner) PollFenced(now time.Time, l Poll, clock time.Duration) {
 	if !r.isCurrent(l.Worker) {
 		return
 	}
 	r.updateClock(now, clock)
 	r.raiseToken()
-	r.ready.Look = true
+	r.ready.Poll = true
 }
--- a/dispatch/runner/queue.go
+++ b/dispatch/runner/queue.go
@@ -86,7 +86,7 @@
 		if !now.Before(x.waitUntil) || r.timedOut(now, x.entry) {
 			// A process that was frozen handles ends before its timers, and the entry may have
 			// had the task run elsewhere by now.
-			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaited)
+			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaitTimeout)
 			continue
 		}
 		if !x.size.FitsIn(r.freeCapacity()) {
@@ -110,7 +110,7 @@
 			next = x
 		}
 	}
-	if r.opts.Without.Has(without.Backfill) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
+	if r.opts.Disabled.Has(without.Backfill) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
 		return head
 	}
 	frees := r.releaseForecast(now)
--- a/dispatch/runner/reasons.go
+++ b/dispatch/runner/reasons.go
@@ -2,18 +2,18 @@
 
 // Reasons of refusals. Entries act on some of them.
 const (
-	// ReasonRoom: the worker has not enough free capacity now.
-	ReasonRoom = "no room"
-	// ReasonWaited: not enough capacity became free in the time that the order could wait.
-	ReasonWaited = "no room in time"
-	// ReasonLate: the order is stale; it arrived later than it may be started.
-	ReasonLate = "order too late"
+	// ReasonNoCapacity: the worker has not enough free capacity now.
+	ReasonNoCapacity = "no room"
+	// ReasonWaitTimeout: not enough capacity became free in the time that the order could wait.
+	ReasonWaitTimeout = "no room in time"
+	// ReasonStaleOrder: the order is stale; it arrived later than it may be started.
+	ReasonStaleOrder = "order too late"
 	// ReasonOldRun: the worker knows a run of the task with a higher number.
 	ReasonOldRun = "run number too low"
 	// ReasonAlreadyRunning: a run of the task has not ended here.
 	ReasonAlreadyRunning = "task still runs here"
-	// ReasonHeld: the worker takes no orders; see WorkerState.Held.
-	ReasonHeld = "worker takes no orders"
+	// ReasonNotAccepting: the worker takes no orders; see WorkerState.Held.
+	ReasonNotAccepting = "worker takes no orders"
 	// ReasonUnanswered: the worker did not answer the start, and the run is fenced.
 	ReasonUnanswered = "start unanswered"
 	// ReasonWorkerRefused: the worker refused the start.
@@ -24,8 +24,8 @@
 
 // Reasons of lost runs. Entries act on the first.
 const (
-	// ReasonCrashed: the worker crashed soon after it was told to start the run.
-	ReasonCrashed = "worker crashed at the start"
+	// ReasonCrashedAtStart: the worker crashed soon after it was told to start the run.
+	ReasonCrashedAtStart = "worker crashed at the start"
 	// ReasonCrashedLater: the worker crashed after the run had gone on for a while.
 	ReasonCrashedLater = "worker crashed"
 )
--- a/dispatch/runner/recall_test.go
+++ b/dispatch/runner/recall_test.go
@@ -14,7 +14,7 @@
 	h := newHarness(t, entries...)
 	h.r.handleCrash(h.now, "test")
 	h.ready()
-	h.r.Recalled(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
+	h.r.RestoreWorker(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
 	h.ready()
 	return h
 }
@@ -25,42 +25,42 @@
 func TestRecalledWorkerServesOnceItHasAnswered(t *testing.T) {
 	h := newRecalledHarness(t, "e1")
 	h.order("e1", "t1", 1000)
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	h.poll()
 	h.begin("e1", "t2", 1000)
-	h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Sequence: 7})
+	h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Sequence: 7})
 	h.order("e1", "t3", 3500)
-	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
 }
 
 // The worker has crashed meanwhile, and another incarnation, perhaps with less capacity,
 // answers at its address. The record does not apply to it.
 func TestUnrecordedIncarnationIsNotUsed(t *testing.T) {
 	h := newRecalledHarness(t, "e1")
-	l, _ := h.r.NextLook(h.now, false)
-	h.r.LookFailed(h.now, l, true)
+	l, _ := h.r.NextPoll(h.now, false)
+	h.r.PollFailed(h.now, l, true)
 	h.ready()
 	h.order("e1", "t1", 1000)
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	if s := h.states["e1"]; s.Held != HeldNoWorker {
 		t.Errorf("held %q, want %q", s.Held, HeldNoWorker)
 	}
-	h.r.Reported(h.now, Worker{Life: Life{ID: "w2"}, Service: "s", Capacity: size.Size{CPUMillis: 2000, MemoryMB: 1000}})
+	h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w2"}, Service: "s", Capacity: size.Size{CPUMillis: 2000, MemoryMB: 1000}})
 	h.poll()
 	h.order("e1", "t2", 3000)
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
 }
 
 // The record is read after the worker has reported. The report has priority: it may say that
 // the worker is draining.
 func TestReportHasPriorityOverRecord(t *testing.T) {
 	h := newHarness(t, "e1")
-	h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Draining: true, Sequence: 2})
-	h.r.Recalled(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
+	h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Draining: true, Sequence: 2})
+	h.r.RestoreWorker(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
 	h.now = h.now.Add(time.Millisecond)
 	h.poll()
 	h.order("e1", "t1", 1000)
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 }
 
 // Runs of the previous agent process go on at the recalled worker. Their sizes are unknown, so
@@ -70,5 +70,5 @@
 	h.running["old"] = 3
 	h.poll()
 	h.order("e1", "t1", 100)
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 }
--- a/dispatch/runner/retire.go
+++ b/dispatch/runner/retire.go
@@ -12,8 +12,8 @@
 // that has acknowledged the announcement sends no order after it, and all earlier orders have
 // arrived.
 
-// Retire begins to close the link to an entry.
-func (r *Runner) Retire(now time.Time, incarnation string) {
+// RetireLink begins to close the link to an entry.
+func (r *Runner) RetireLink(now time.Time, incarnation string) {
 	e := r.entry(incarnation)
 	if e == nil || e.retiring || !e.session.IsUp() {
 		return
@@ -22,8 +22,8 @@
 	r.logDecision(now, Decision{Event: "link_retiring", Entry: e.name})
 }
 
-// Keep cancels the closing of a link while the link is still open.
-func (r *Runner) Keep(now time.Time, incarnation string) {
+// KeepLink cancels the closing of a link while the link is still open.
+func (r *Runner) KeepLink(now time.Time, incarnation string) {
 	e := r.entry(incarnation)
 	if e == nil || !e.retiring || !e.session.IsUp() {
 		return
@@ -42,7 +42,7 @@
 func (r *Runner) closeRetired() {
 	for _, e := range r.entries {
 		if r.mayClose(e) {
-			r.ready.Closed = append(r.ready.Closed, e.incarnation)
+			r.ready.Disconnect = append(r.ready.Disconnect, e.incarnation)
 		}
 	}
 }
--- a/dispatch/runner/run.go
+++ b/dispatch/runner/run.go
@@ -131,9 +131,9 @@
 const (
 	// startResendAfter is when an unanswered start is sent again, while its answer may still
 	// arrive.
-	startResendAfter = AnswerWithin / 2
+	startResendAfter = CallTimeout / 2
 	// stopResendAfter is when an unanswered stop is sent again.
-	stopResendAfter = 2 * AnswerWithin
+	stopResendAfter = 2 * CallTimeout
 )
 
 func (r *Runner) tickRun(now time.Time, x *run) {
--- a/dispatch/runner/runner.go
+++ b/dispatch/runner/runner.go
@@ -23,12 +23,12 @@
 	// Token is the first fencing token. A later process beside the same worker must use a
 	// higher one, or raise it when the worker says so.
 	Token uint64
-	// Without is the set of disabled features, used to measure what each is worth.
-	Without without.Set
+	// Disabled is the set of disabled features, used to measure what each is worth.
+	Disabled without.Set
 	// Events receives events for the time line; nil records none.
 	Events *event.Ring
-	// Decided is called with each decision, for the log; it may be nil.
-	Decided func(Decision)
+	// OnDecision is called with each decision, for the log; it may be nil.
+	OnDecision func(Decision)
 }
 
 // Runner is the state of one worker's runs.
@@ -72,14 +72,14 @@
 
 // New returns a Runner without a worker.
 func New(o Options) *Runner {
-	if o.Decided == nil {
-		o.Decided = func(Decision) {}
+	if o.OnDecision == nil {
+		o.OnDecision = func(Decision) {}
 	}
 	return &Runner{opts: o, token: o.Token, runs: make(map[string]*run), recentRuns: make(map[string]uint32)}
 }
 
-// Leave stops taking orders. Runs in progress go on.
-func (r *Runner) Leave(now time.Time) {
+// Drain stops taking orders. Runs in progress go on.
+func (r *Runner) Drain(now time.Time) {
 	r.leaving = true
 	r.flushQueue(now)
 	r.markChanged()
@@ -104,10 +104,10 @@
 
 func (r *Runner) logDecision(now time.Time, d Decision) {
 	if !r.polledAt.IsZero() {
-		d.Age = now.Sub(r.polledAt)
+		d.PollAge = now.Sub(r.polledAt)
 	}
-	d.Free = r.freeCapacity()
-	r.opts.Decided(d)
+	d.FreeCapacity = r.freeCapacity()
+	r.opts.OnDecision(d)
 }
 
 // freeCapacity returns the capacity that no run takes.
@@ -126,7 +126,7 @@
 		return
 	}
 	for _, x := range slices.Clone(r.queue) {
-		r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+		r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	}
 }
 
@@ -136,7 +136,7 @@
 	for _, x := range slices.Clone(r.queue) {
 		// Ending one order may have started the next.
 		if x.phase == queued && !now.Before(x.waitUntil) {
-			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaited)
+			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaitTimeout)
 		}
 	}
 	for _, x := range slices.Clone(r.runList) {
--- a/dispatch/runner/runner_test.go
+++ b/dispatch/runner/runner_test.go
@@ -41,7 +41,7 @@
 		Agent: "agent-1", Incarnation: "a1", Timeouts: times, Token: 1,
 		Link: link.Options{AckDelay: 50 * time.Millisecond, AckTimeout: time.Minute, Heartbeat: time.Minute, HeartbeatTimeout: time.Hour},
 	})
-	h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
+	h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}})
 	h.poll()
 	for _, e := range entries {
 		h.r.LinkUp(h.now, h.now, &pb.EntryGreeting{Entry: e, Incarnation: e}, 1, h.now.UnixNano())
@@ -122,28 +122,28 @@
 
 // poll has the worker answer a poll at once.
 func (h *harness) poll(ends ...End) {
-	l, ok := h.r.NextLook(h.now, false)
+	l, ok := h.r.NextPoll(h.now, false)
 	if !ok {
 		h.t.Fatal("no worker is known")
 	}
 	h.answer(l, ends...)
 }
 
-func (h *harness) answer(l Look, ends ...End) {
-	s := Seen{Born: h.startMs, Clock: h.clock(), Ended: ends}
+func (h *harness) answer(l Poll, ends ...End) {
+	s := PollAnswer{StartUnixMs: h.startMs, Clock: h.clock(), Ended: ends}
 	for _, e := range ends {
 		delete(h.running, e.Task)
 	}
 	for task, run := range h.running {
-		s.Running = append(s.Running, Row{Task: task, Run: run, Percent: 50})
+		s.Running = append(s.Running, ListedRun{Task: task, Run: run, Percent: 50})
 	}
-	h.r.Looked(h.now, l, s)
+	h.r.PollAnswered(h.now, l, s)
 	h.ready()
 }
 
 func (h *harness) end(task string, how Ending) {
 	h.endNumber++
-	h.poll(End{Number: h.endNumber, Task: task, Run: h.running[task], How: how})
+	h.poll(End{Number: h.endNumber, Task: task, Run: h.running[task], Ending: how})
 }
 
 func (h *harness) wantNews(entry string, number uint64, want pb.OrderState, reason string) {
@@ -186,14 +186,14 @@
 	h := newHarness(t, "e1", "e2")
 	h.begin("e1", "t1", 2500)
 	h.order("e2", "t2", 2000)
-	h.wantNews("e2", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.wantNews("e2", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
 	h.frame("e1", &pb.OrderFrame{Stops: []uint64{1}})
 	if len(h.last.Stops) != 1 {
 		t.Fatalf("%d stops, want 1", len(h.last.Stops))
 	}
 	h.r.StopAnswered(h.now, h.last.Stops[0], h.clock())
 	h.order("e2", "t3", 2000)
-	h.wantNews("e2", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonRoom)
+	h.wantNews("e2", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNoCapacity)
 	h.end("t1", EndedStopped)
 	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_STOPPED, "")
 	h.begin("e2", "t4", 2000)
@@ -208,7 +208,7 @@
 	h.order("e1", "large", 3500, waits(100))
 	h.order("e1", "small", 1000, waits(100))
 	h.wait(100 * time.Millisecond)
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaited)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaitTimeout)
 	h.wantNoNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED)
 }
 
@@ -218,7 +218,7 @@
 	h := newHarness(t, "e1")
 	s := h.order("e1", "t1", 1000).Starts[0]
 	h.running["t1"] = 1
-	if !h.unanswered(s).Look {
+	if !h.unanswered(s).Poll {
 		t.Fatal("no poll was requested")
 	}
 	h.poll()
@@ -289,7 +289,7 @@
 				t.Fatal("the start was not sent again")
 			}
 			h.r.StartAnswered(h.now, s, v, h.clock(), "")
-			if !h.ready().Look {
+			if !h.ready().Poll {
 				t.Error("no poll was requested")
 			}
 			h.wantNoNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED)
@@ -304,7 +304,7 @@
 func TestUnansweredStartIsNotResent(t *testing.T) {
 	for name, change := range map[string]func(h *harness){
 		"stopped":         func(h *harness) { h.frame("e1", &pb.OrderFrame{Stops: []uint64{1}}) },
-		"draining":        func(h *harness) { h.r.Reported(h.now, worker(0, func(w *Worker) { w.Draining = true })) },
+		"draining":        func(h *harness) { h.r.HandleReport(h.now, worker(0, func(w *Worker) { w.Draining = true })) },
 		"entry timed out": func(h *harness) { h.now = h.now.Add(h.times.Silence) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -323,29 +323,29 @@
 // refused because of that.
 func TestOneLostPollKeepsWorkerResponsive(t *testing.T) {
 	h := newHarness(t, "e1")
-	lost, _ := h.r.NextLook(h.now, true)
+	lost, _ := h.r.NextPoll(h.now, true)
 	h.now = h.now.Add(100 * time.Millisecond)
-	h.r.LookFailed(h.now, lost, false)
-	if !h.ready().Look {
+	h.r.PollFailed(h.now, lost, false)
+	if !h.ready().Poll {
 		t.Error("no immediate poll follows")
 	}
 	h.begin("e1", "t1", 1000)
-	older, _ := h.r.NextLook(h.now, true)
+	older, _ := h.r.NextPoll(h.now, true)
 	h.now = h.now.Add(time.Millisecond)
 	h.poll()
-	h.r.LookFailed(h.now, older, false)
+	h.r.PollFailed(h.now, older, false)
 	h.begin("e1", "t2", 1000)
 	h.poll()
 	h.failPolls()
 	h.order("e1", "t3", 1000)
-	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 }
 
 // failPolls has polls fail until the worker is considered unresponsive.
 func (h *harness) failPolls() {
 	for range maxFailedPolls {
-		l, _ := h.r.NextLook(h.now, false)
-		h.r.LookFailed(h.now, l, false)
+		l, _ := h.r.NextPoll(h.now, false)
+		h.r.PollFailed(h.now, l, false)
 	}
 	h.ready()
 }
@@ -411,7 +411,7 @@
 		Orders: []*pb.Order{{Number: 1, Task: "t1", Run: 1, Size: &pb.Size{CpuMillis: 100}}},
 	})
 	h.ready()
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonLate)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonStaleOrder)
 }
 
 // An agent is restarted while its worker runs tasks of the previous process. Their sizes are
@@ -429,7 +429,7 @@
 		t.Errorf("accepting %v and clean %v beside a run of an earlier process", s.Accepting, s.Clean)
 	}
 	h.order("e1", "t1", 100)
-	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	h.end("old", EndedStopped)
 	h.wait(time.Second)
 	if s := h.states["e1"]; !s.Accepting || !s.Clean {
@@ -443,7 +443,7 @@
 func TestAnswerOfOlderPollRevivesNothing(t *testing.T) {
 	h := newHarness(t, "e1")
 	h.begin("e1", "t1", 1000)
-	older, _ := h.r.NextLook(h.now, false)
+	older, _ := h.r.NextPoll(h.now, false)
 	h.end("t1", EndedDone)
 	h.running["t1"] = 1
 	h.answer(older)
@@ -464,7 +464,7 @@
 			h.frame("e1", &pb.OrderFrame{})
 		}
 		h.now = h.now.Add(10 * time.Millisecond)
-		h.r.NextLook(h.now, true) // polls go on
+		h.r.NextPoll(h.now, true) // polls go on
 		h.r.Tick(h.now)
 		h.ready()
 	}
@@ -473,7 +473,7 @@
 	}
 	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, "")
 	h.order("e1", "t2", 100)
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 }
 
 // A worker announces that it will leave. An order that arrives after that would be aborted with
@@ -482,15 +482,15 @@
 	h := newHarness(t, "e1")
 	h.begin("e1", "t0", 3500)
 	h.order("e1", "waits", 3500, waits(500))
-	h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Draining: true, Sequence: 9})
+	h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Service: "s", Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000}, Draining: true, Sequence: 9})
 	h.ready()
-	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+	h.wantNews("e1", 2, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	h.order("e1", "t2", 100)
-	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
-	if !h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Sequence: 10, Draining: true}) {
+	h.wantNews("e1", 3, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
+	if !h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Sequence: 10, Draining: true}) {
 		t.Error("a later report was not accepted")
 	}
-	if h.r.Reported(h.now, Worker{Life: Life{ID: "w1"}, Sequence: 8}) {
+	if h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w1"}, Sequence: 8}) {
 		t.Error("an overtaken report was accepted")
 	}
 }
@@ -499,7 +499,7 @@
 // incarnation of the worker answers at the same address.
 func TestReportOfEndedIncarnationIsIgnored(t *testing.T) {
 	h := newHarness(t, "e1")
-	if h.r.Reported(h.now, Worker{Life: Life{ID: "w0"}, Service: "s", Sequence: 70}) {
+	if h.r.HandleReport(h.now, Worker{Incarnation: Incarnation{ID: "w0"}, Service: "s", Sequence: 70}) {
 		t.Error("the report was accepted")
 	}
 	if w, _ := h.r.Worker(); w.ID != "w1" {
@@ -518,7 +518,7 @@
 	h.order("e1", "gauge", 2000, priority(0), waits(100))
 	h.wait(20 * time.Millisecond)
 	h.endNumber++
-	h.poll(End{Number: h.endNumber, Task: "t0", Run: 1, How: EndedDone})
+	h.poll(End{Number: h.endNumber, Task: "t0", Run: 1, Ending: EndedDone})
 	if got := h.started(); len(got) == 0 || got[0] != "gauge/1" {
 		t.Errorf("started %v, want the gauge check first", got)
 	}
@@ -535,7 +535,7 @@
 	h.order("e1", "sooner", 4000, waits(500), startBy(60), limit(9000))
 	h.wait(10 * time.Millisecond)
 	h.endNumber++
-	h.poll(End{Number: h.endNumber, Task: "t0", Run: 1, How: EndedDone})
+	h.poll(End{Number: h.endNumber, Task: "t0", Run: 1, Ending: EndedDone})
 	if got := h.started(); len(got) != 1 || got[0] != "sooner/1" {
 		t.Errorf("started %v, want the one that must start sooner", got)
 	}
@@ -548,8 +548,8 @@
 	h.begin("e1", "t1", 1000)
 	for range 4 {
 		h.wait(20 * time.Millisecond)
-		l, _ := h.r.NextLook(h.now, false)
-		h.r.Looked(h.now, l, Seen{Clock: h.clock(), Running: []Row{{Task: "t1", Run: 1, Percent: 0}}})
+		l, _ := h.r.NextPoll(h.now, false)
+		h.r.PollAnswered(h.now, l, PollAnswer{Clock: h.clock(), Running: []ListedRun{{Task: "t1", Run: 1, Percent: 0}}})
 		h.ready()
 	}
 	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_STALLED, "")
@@ -638,7 +638,7 @@
 	h.order("e1", "urgent.0.0.0", 2000, waits(900), priority(0), func(o *pb.Order) { o.StartByMs = 300 })
 	for i, want := range []string{"urgent.0.0.0", "less.0.0.0", "late.0.0.0"} {
 		h.now = h.now.Add(10 * time.Millisecond)
-		h.poll(End{Number: uint64(i + 1), Task: []string{"j0.0.0.0", "j1.0.0.0", "urgent.0.0.0"}[i], Run: 1, How: EndedDone})
+		h.poll(End{Number: uint64(i + 1), Task: []string{"j0.0.0.0", "j1.0.0.0", "urgent.0.0.0"}[i], Run: 1, Ending: EndedDone})
 		if got := h.started(); len(got) != 1 || got[0] != want+"/1" {
 			t.Fatalf("started %v, want %s", got, want)
 		}
@@ -670,7 +670,7 @@
 			h.order("e1", "urgent.0.0.0", 2000, waits(900), priority(0), startBy(c.urgentBy))
 			h.order("e1", "long.0.0.0", 2000, waits(900), priority(2), expected(900), startBy(60))
 			h.now = h.now.Add(20 * time.Millisecond)
-			h.poll(End{Number: 1, Task: "j0.0.0.0", Run: 1, How: EndedDone})
+			h.poll(End{Number: 1, Task: "j0.0.0.0", Run: 1, Ending: EndedDone})
 			if got := h.started(); len(got) != 1 || got[0] != c.want {
 				t.Errorf("started %v, want %s", got, c.want)
 			}
--- a/dispatch/runner/start.go
+++ b/dispatch/runner/start.go
@@ -23,8 +23,8 @@
 	OldRun
 	// Fenced: another process used a higher token.
 	Fenced
-	// OtherLife: another incarnation of the worker answered.
-	OtherLife
+	// OtherIncarnation: another incarnation of the worker answered.
+	OtherIncarnation
 	// Unanswered: the run may have been started, or may be started later.
 	Unanswered
 	// Unsent: the call can't have reached the worker.
@@ -42,7 +42,7 @@
 	x.sentAt, r.leaseRenewedAt = now, now
 	x.sends++
 	r.ready.Starts = append(r.ready.Starts, Start{
-		Worker: r.worker.Life, Task: x.task, Run: x.run, Payload: x.payload, Until: r.leaseEnd(now), Token: r.token,
+		Worker: r.worker.Incarnation, Task: x.task, Run: x.run, Payload: x.payload, Until: r.leaseEnd(now), Token: r.token,
 	})
 }
 
@@ -59,7 +59,7 @@
 	switch v {
 	case Started:
 		r.runStarted(now, x)
-	case OtherLife:
+	case OtherIncarnation:
 		r.handleSuperseded(now, "another incarnation of the worker answers")
 	case Unanswered:
 		r.startUnanswered(now, x)
@@ -108,7 +108,7 @@
 	x.phase = inDoubt
 	r.callSeq++
 	x.callSeq = r.callSeq
-	r.ready.Look = true
+	r.ready.Poll = true
 }
 
 // mayResendStart reports whether an unanswered start is sent again. A worker starts the same
@@ -157,7 +157,7 @@
 
 func (r *Runner) sendStop(now time.Time, x *run) {
 	x.sentAt = now
-	r.ready.Stops = append(r.ready.Stops, Stop{Worker: r.worker.Life, Task: x.task, Run: x.run, Token: r.token})
+	r.ready.Stops = append(r.ready.Stops, Stop{Worker: r.worker.Incarnation, Task: x.task, Run: x.run, Token: r.token})
 }
 
 // StopAnswered handles the worker's answer to a stop: the run has ended or is ending, and it
@@ -174,5 +174,5 @@
 	r.callSeq++
 	x.callSeq = r.callSeq
 	x.stopAnswered = true
-	r.ready.Look = true
+	r.ready.Poll = true
 }
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -69,7 +69,7 @@
 			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
 			// The start time is the fencing token: a later process beside the same worker
 			// has a higher one.
-			Token: uint64(time.Now().UnixMilli()), Without: disabled, Decided: runnerLogger(a.log, a.metrics),
+			Token: uint64(time.Now().UnixMilli()), Disabled: disabled, OnDecision: runnerLogger(a.log, a.metrics),
 		},
 	})
 	a.recorder = workerrecord.New(workerrecord.Options{Store: client, Agent: s.Name, Logger: a.logger})
--- a/node/process/leased_log.go
+++ b/node/process/leased_log.go
@@ -85,9 +85,9 @@
 		a.text("entry", d.Entry)
 		a.number("order", d.Order)
 		a.text("reason", d.Reason)
-		a.millis("age_ms", d.Age)
+		a.millis("age_ms", d.PollAge)
 		a.millis("elapsed_ms", d.Elapsed)
-		a.freeCapacity(d.Free)
+		a.freeCapacity(d.FreeCapacity)
 		l.Add(decisionlog.Line{At: time.Now(), Event: d.Event, Attrs: a}, routineEvents[d.Event])
 	}
 }
--- a/node/runner/entries.go
+++ b/node/runner/entries.go
@@ -236,10 +236,10 @@
 	e.mu.Unlock()
 	e.r.decide(func(now time.Time) {
 		for _, incarnation := range keep {
-			e.r.core.Keep(now, incarnation)
+			e.r.core.KeepLink(now, incarnation)
 		}
 		for _, incarnation := range retire {
-			e.r.core.Retire(now, incarnation)
+			e.r.core.RetireLink(now, incarnation)
 		}
 	})
 }
--- a/node/runner/links.go
+++ b/node/runner/links.go
@@ -74,7 +74,7 @@
 	e.mu.Lock()
 	t.incarnation = ""
 	e.mu.Unlock()
-	e.r.decide(func(now time.Time) { e.r.core.EntryGone(now, incarnation, why) })
+	e.r.decide(func(now time.Time) { e.r.core.EntryEnded(now, incarnation, why) })
 }
 
 func (e *entries) serve(ctx context.Context, cancel context.CancelFunc, stream *linkStream, t *target, hello *pb.EntryGreeting, epoch uint64, dialedAt time.Time, sentNs int64) {
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -20,7 +20,7 @@
 	Start(ctx context.Context, s runner.Start) (v runner.StartVerdict, clock time.Duration, why string)
 	// Stop reports whether the worker has responded.
 	Stop(ctx context.Context, s runner.Stop) (answered bool, clock time.Duration)
-	Look(ctx context.Context, l runner.Look) (runner.Seen, runner.LookVerdict)
+	Look(ctx context.Context, l runner.Poll) (runner.PollAnswer, runner.PollVerdict)
 }
 
 // Options configure a Runner.
@@ -90,22 +90,22 @@
 // Reported handles a worker's report of its own state. It returns false if the report is
 // not from a worker in use.
 func (r *Runner) Reported(w runner.Worker) (ok bool) {
-	r.decide(func(now time.Time) { ok = r.core.Reported(now, w) })
+	r.decide(func(now time.Time) { ok = r.core.HandleReport(now, w) })
 	return ok
 }
 
 // Recalled restores the worker's incarnation recorded by an earlier agent process.
 func (r *Runner) Recalled(w runner.Worker) {
-	r.decide(func(now time.Time) { r.core.Recalled(now, w) })
+	r.decide(func(now time.Time) { r.core.RestoreWorker(now, w) })
 }
 
 // Left handles a worker's notice that it ends.
 func (r *Runner) Left(id string) {
-	r.decide(func(now time.Time) { r.core.Left(now, id) })
+	r.decide(func(now time.Time) { r.core.HandleLeave(now, id) })
 }
 
 // Leave makes the agent refuse new orders.
-func (r *Runner) Leave() { r.decide(r.core.Leave) }
+func (r *Runner) Leave() { r.decide(r.core.Drain) }
 
 // Drained reports whether no runs are left.
 func (r *Runner) Drained() bool {
@@ -127,7 +127,7 @@
 	for _, s := range ready.Stops {
 		go r.stop(s)
 	}
-	if ready.Look {
+	if ready.Poll {
 		select {
 		case r.pollNow <- struct{}{}:
 		default:
@@ -139,7 +139,7 @@
 			r.opts.OnFrame(f.Frame)
 		}
 	}
-	for _, entry := range append(ready.Redial, ready.Closed...) {
+	for _, entry := range append(ready.Reconnect, ready.Disconnect...) {
 		if l := r.links[entry]; l != nil {
 			l.end()
 		}
@@ -148,14 +148,14 @@
 }
 
 func (r *Runner) start(s runner.Start) {
-	ctx, cancel := context.WithTimeout(r.ctx, runner.AnswerWithin)
+	ctx, cancel := context.WithTimeout(r.ctx, runner.CallTimeout)
 	defer cancel()
 	v, at, why := r.opts.Worker.Start(ctx, s)
 	r.decide(func(now time.Time) { r.core.StartAnswered(now, s, v, at, why) })
 }
 
 func (r *Runner) stop(s runner.Stop) {
-	ctx, cancel := context.WithTimeout(r.ctx, runner.AnswerWithin)
+	ctx, cancel := context.WithTimeout(r.ctx, runner.CallTimeout)
 	defer cancel()
 	if answered, at := r.opts.Worker.Stop(ctx, s); answered {
 		r.decide(func(now time.Time) { r.core.StopAnswered(now, s, at) })
@@ -184,9 +184,9 @@
 }
 
 func (r *Runner) poll(waiting bool) (answered bool) {
-	var l runner.Look
+	var l runner.Poll
 	var ok bool
-	r.decide(func(now time.Time) { l, ok = r.core.NextLook(now, waiting) })
+	r.decide(func(now time.Time) { l, ok = r.core.NextPoll(now, waiting) })
 	if !ok {
 		r.pause(idlePollInterval)
 		return true
@@ -199,17 +199,17 @@
 	}
 	r.decide(func(now time.Time) {
 		switch v {
-		case runner.LookAnswered:
-			r.core.Looked(now, l, seen)
-		case runner.LookFenced:
-			r.core.LookFenced(now, l, seen.Clock)
-		case runner.LookOtherLife:
-			r.core.LookFailed(now, l, true)
+		case runner.PollAnswered:
+			r.core.PollAnswered(now, l, seen)
+		case runner.PollFenced:
+			r.core.PollFenced(now, l, seen.Clock)
+		case runner.PollOtherIncarnation:
+			r.core.PollFailed(now, l, true)
 		default:
-			r.core.LookFailed(now, l, v == runner.LookRefused)
+			r.core.PollFailed(now, l, v == runner.PollRefused)
 		}
 	})
-	return v == runner.LookAnswered
+	return v == runner.PollAnswered
 }
 
 func (r *Runner) pause(d time.Duration) {
@@ -223,7 +223,7 @@
 // message of a new one.
 func (r *Runner) newGreeting(incarnation string, epoch uint64) (g *pb.AgentGreeting) {
 	r.decide(func(now time.Time) {
-		r.core.Closing(now, incarnation)
+		r.core.CloseLink(now, incarnation)
 		g = r.core.Greeting(epoch)
 	})
 	return g
--- a/node/workerrecord/workerrecord.go
+++ b/node/workerrecord/workerrecord.go
@@ -72,7 +72,7 @@
 
 func (r record) worker() runner.Worker {
 	return runner.Worker{
-		Life: runner.Life{ID: r.Worker, Born: r.Born}, Service: r.Service, Labels: r.Labels,
+		Incarnation: runner.Incarnation{ID: r.Worker, StartUnixMs: r.Born}, Service: r.Service, Labels: r.Labels,
 		Capacity: size.Size{CPUMillis: r.CPUMillis, MemoryMB: r.MemoryMB, GPUs: r.GPUs},
 	}
 }
@@ -130,7 +130,7 @@
 
 func (r *Recorder) setWorker(w runner.Worker) {
 	r.mu.Lock()
-	same := r.worker.Life == w.Life
+	same := r.worker.Incarnation == w.Incarnation
 	r.worker = w
 	r.mu.Unlock()
 	if same {
@@ -184,11 +184,11 @@
 		}
 		w := r.currentWorker()
 		err := r.write(ctx, w)
-		if err == nil && r.currentWorker().Life == w.Life {
+		if err == nil && r.currentWorker().Incarnation == w.Incarnation {
 			return
 		}
 		if err != nil {
-			r.opts.Logger.Warn("worker_record_not_written", "worker", w.Life.String(), "err", err)
+			r.opts.Logger.Warn("worker_record_not_written", "worker", w.Incarnation.String(), "err", err)
 			r.pause(ctx, retryDelay)
 		}
 	}
@@ -239,7 +239,7 @@
 		return 0, err
 	}
 	value, _ := json.Marshal(record{
-		Worker: w.ID, Born: w.Born, Service: w.Service, Labels: w.Labels,
+		Worker: w.ID, Born: w.StartUnixMs, Service: w.Service, Labels: w.Labels,
 		CPUMillis: w.Capacity.CPUMillis, MemoryMB: w.Capacity.MemoryMB, GPUs: w.Capacity.GPUs,
 	})
 	return r.opts.Store.CompareAndSwap(ctx, r.key(), revision, value, lease)
--- a/node/workerrecord/workerrecord_test.go
+++ b/node/workerrecord/workerrecord_test.go
@@ -88,7 +88,7 @@
 	s.unavailable = unavailable
 }
 
-var testWorker = runner.Worker{Life: runner.Life{ID: "w1"}, Service: "s", Labels: []string{"a", "r1"}, Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000, GPUs: 2}}
+var testWorker = runner.Worker{Incarnation: runner.Incarnation{ID: "w1"}, Service: "s", Labels: []string{"a", "r1"}, Capacity: size.Size{CPUMillis: 4000, MemoryMB: 1000, GPUs: 2}}
 
 func runRecorder(t *testing.T, s *fakeStore) *Recorder {
 	r := New(Options{Store: s, Agent: "a1", Logger: slog.New(slog.DiscardHandler)})
@@ -130,10 +130,10 @@
 		s.item.Revision += 5
 		s.mu.Unlock()
 		next := testWorker
-		next.Born = 7
+		next.StartUnixMs = 7
 		r.Reported(next)
 		time.Sleep(2 * maxWriteDelay)
-		if got, ok := runRecorder(t, s).Read(t.Context()); !ok || got.Born != 7 {
+		if got, ok := runRecorder(t, s).Read(t.Context()); !ok || got.StartUnixMs != 7 {
 			t.Errorf("read %v (%v)", got, ok)
 		}
 	})
