--- a/dispatch/agent/agent.go
+++ b/dispatch/agent/agent.go
@@ -104,7 +104,7 @@
 		if !p.session.IsUp() && !p.lost && !now.Before(p.downAt.Add(a.opts.PeerLostAfter)) {
 			a.markLost(p)
 		}
-		if p.session.Silent(now) {
+		if p.session.TimedOut(now) {
 			a.recordPeer(now, event.PeerSuspected, p, "the link has gone silent", p.session.Epoch())
 			a.ready.Relink = append(a.ready.Relink, p.hello.Incarnation)
 			a.disconnect(now, p)
@@ -149,7 +149,7 @@
 		return false
 	}
 	for _, p := range a.peers {
-		if !p.lost && !a.cleanlyDisconnected(p) && !(p.session.IsUp() && p.leavingSent && p.session.Settled()) {
+		if !p.lost && !a.cleanlyDisconnected(p) && !(p.session.IsUp() && p.leavingSent && p.session.AllAcked()) {
 			return false
 		}
 	}
@@ -161,7 +161,7 @@
 // before have arrived, and it has all results. If such an entry has crashed, waiting
 // for it would delay a planned stop for as long as it counts as alive.
 func (a *Agent) cleanlyDisconnected(p *peer) bool {
-	return !p.session.IsUp() && p.leavingAcked && p.session.Settled() && !a.hasOpenTasks(p)
+	return !p.session.IsUp() && p.leavingAcked && p.session.AllAcked() && !a.hasOpenTasks(p)
 }
 
 // hasOpenTasks reports whether tasks of the entry run here or have a result that
--- a/dispatch/agent/fences.go
+++ b/dispatch/agent/fences.go
@@ -13,7 +13,7 @@
 	report := &pb.FenceReport{Job: f.Job}
 	_, bare := job.SplitName(f.Job)
 	id, _ := job.Parse(bare)
-	if home := a.peer(id.Home.Incarnation); !f.HomeEnded && home != nil && home.session.IsUp() && !home.session.Silent(now) {
+	if home := a.peer(id.Home.Incarnation); !f.HomeEnded && home != nil && home.session.IsUp() && !home.session.TimedOut(now) {
 		// The requesting entry can't reach the home, but this agent can: fencing
 		// would end a job that is making progress.
 		report.HomeAlive = true
--- a/dispatch/agent/links.go
+++ b/dispatch/agent/links.go
@@ -80,7 +80,7 @@
 	if p == nil || p.session.Epoch() != epoch {
 		return
 	}
-	if p.session.Silent(now) {
+	if p.session.TimedOut(now) {
 		// This process was paused and now reads stale frames, with starts of jobs
 		// that may have ended. The entry resends on a new link the starts that it
 		// still wants.
@@ -146,7 +146,7 @@
 		}
 	}
 	p.unacked = p.unacked[n:]
-	p.leavingAcked = p.leavingAcked || (a.leaving && p.leavingSent && p.session.Settled())
+	p.leavingAcked = p.leavingAcked || (a.leaving && p.leavingSent && p.session.AllAcked())
 }
 
 func (a *Agent) markAcked(t *task) {
--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -138,7 +138,7 @@
 }
 
 func (d *Dispatcher) tickAgent(now time.Time, a *agent) {
-	if a.session.Silent(now) && !d.behind(now) {
+	if a.session.TimedOut(now) && !d.behind(now) {
 		d.linkLost(now, a, "the link has gone silent")
 		d.ready.Close = append(d.ready.Close, a.incarnation)
 	}
--- a/dispatch/entry/agents.go
+++ b/dispatch/entry/agents.go
@@ -228,7 +228,7 @@
 }
 
 func (e *Entry) tickAgent(now time.Time, a *agent) {
-	if a.session.Silent(now) {
+	if a.session.TimedOut(now) {
 		e.recordPeer(now, event.PeerSuspected, a, "the link has gone silent", a.session.Epoch())
 		e.linkLost(now, a)
 		a.dialAt = now
@@ -288,7 +288,7 @@
 	if a == nil || a.session.Epoch() != epoch {
 		return
 	}
-	if a.session.Silent(now) {
+	if a.session.TimedOut(now) {
 		// The link has timed out, as after a pause of the agent. A new link carries what
 		// was missed.
 		e.tickAgent(now, a)
--- a/dispatch/link/link.go
+++ b/dispatch/link/link.go
@@ -120,8 +120,8 @@
 	return s.sent, s.received
 }
 
-// Settled reports whether the peer has acknowledged all content.
-func (s *Session) Settled() bool { return s.peerAcked >= s.needsAck }
+// AllAcked reports whether the peer has acknowledged all content.
+func (s *Session) AllAcked() bool { return s.peerAcked >= s.needsAck }
 
 // Due reports whether a frame must be sent now even without content.
 func (s *Session) Due(now time.Time) bool {
@@ -134,8 +134,8 @@
 	return !now.Before(s.lastSent.Add(s.opts.Heartbeat))
 }
 
-// Silent reports whether the link has timed out and must be considered lost.
-func (s *Session) Silent(now time.Time) bool {
+// TimedOut reports whether the link has timed out and must be considered lost.
+func (s *Session) TimedOut(now time.Time) bool {
 	if !s.up {
 		return false
 	}
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -264,7 +264,7 @@
 // tickEntries detects links and entries that have timed out.
 func (r *Runner) tickEntries(now time.Time) {
 	for _, e := range slices.Clone(r.entries) {
-		if e.session.Silent(now) {
+		if e.session.TimedOut(now) {
 			r.logDecision(now, Decision{Event: "entry_silent", Entry: e.name, Reason: "no frame or acknowledgement in time"})
 			r.ready.Reconnect = append(r.ready.Reconnect, e.incarnation)
 			e.session.Down()
--- a/dispatch/runner/retire.go
+++ b/dispatch/runner/retire.go
@@ -35,7 +35,7 @@
 // mayClose reports whether the link to an entry may be closed.
 func (r *Runner) mayClose(e *entry) bool {
 	return e.retiring && e.session.IsUp() && e.retireSeq > 0 && e.session.Acked() >= e.retireSeq &&
-		len(e.unsent) == 0 && e.session.Settled() && !r.hasRuns(e)
+		len(e.unsent) == 0 && e.session.AllAcked() && !r.hasRuns(e)
 }
 
 // closeRetired asks the driver to close the links that are no longer used.
