--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -79,7 +79,7 @@
 // recomputeFree derives the free capacity and its predicted releases from the last
 // report and the orders that the report doesn't include.
 func (a *agent) recomputeFree() {
-	a.free = size.OfRoom(a.state.GetRoom())
+	a.free = size.FromRoom(a.state.GetRoom())
 	a.releases = forecast.Releases{}
 	for i, cpu := range a.state.GetFrees() {
 		if i < len(a.releases) {
@@ -209,7 +209,7 @@
 
 func (d *Dispatcher) applyState(now time.Time, a *agent, s *pb.WorkerState) {
 	if a.state == nil || a.state.Accepting != s.Accepting || a.state.Worker != s.Worker {
-		d.opts.OnDecision(Decision{Event: "worker_state", Agent: a.name, Reason: s.Held, Outcome: s.Worker, Free: size.OfRoom(s.Room), Age: now.Sub(a.stateAt)})
+		d.opts.OnDecision(Decision{Event: "worker_state", Agent: a.name, Reason: s.Held, Outcome: s.Worker, Free: size.FromRoom(s.Room), Age: now.Sub(a.stateAt)})
 	}
 	if a.state != nil && a.state.Worker != s.Worker {
 		// Statistics of one worker incarnation say little of the next.
@@ -217,7 +217,7 @@
 		d.health.Add(a.incarnation)
 		a.slowness = 1
 	}
-	a.state, a.stateAt, a.capacity = s, now, size.Of(s.Capacity)
+	a.state, a.stateAt, a.capacity = s, now, size.FromMessage(s.Capacity)
 	a.recomputeFree()
 	d.updateHealthState(now, a)
 	if s.Clean && a.hasPredecessor {
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -219,7 +219,7 @@
 	}
 	e.lastOrder = o.Number
 	x := &run{
-		task: o.Task, run: o.Run, payload: o.Payload, size: size.Of(o.Size), priority: o.Priority,
+		task: o.Task, run: o.Run, payload: o.Payload, size: size.FromMessage(o.Size), priority: o.Priority,
 		expected: time.Duration(o.ExpectedMs) * time.Millisecond,
 		entry:    e, order: o.Number, arrived: now, wanted: true,
 		waitUntil: now.Add(time.Duration(o.WaitMs) * time.Millisecond),
@@ -370,7 +370,7 @@
 	s.Clean = r.known && r.polled && !r.hasOrphaned()
 	if r.known {
 		s.Worker, s.Service, s.Labels = r.worker.ID, r.worker.Service, r.worker.Labels
-		s.Capacity, s.Room = r.worker.Capacity.Message(), r.freeCapacity().Room()
+		s.Capacity, s.Room = r.worker.Capacity.Message(), r.freeCapacity().RoomMessage()
 		s.ColdMs = uint32(r.worker.ColdStart.Milliseconds())
 		s.Queued = r.queuedWork()
 		for _, cpu := range r.releaseForecast(now) {
--- a/dispatch/size/size.go
+++ b/dispatch/size/size.go
@@ -12,13 +12,13 @@
 	GPUs      int64
 }
 
-// Of returns the Size in a message.
-func Of(m *pb.Size) Size {
+// FromMessage returns the Size in a message.
+func FromMessage(m *pb.Size) Size {
 	return Size{int64(m.GetCpuMillis()), int64(m.GetMemoryMb()), int64(m.GetGpus())}
 }
 
-// OfRoom returns the Size in a message, which may have negative amounts.
-func OfRoom(m *pb.Room) Size {
+// FromRoom returns the Size in a message, which may have negative amounts.
+func FromRoom(m *pb.Room) Size {
 	return Size{int64(m.GetCpuMillis()), int64(m.GetMemoryMb()), int64(m.GetGpus())}
 }
 
@@ -27,8 +27,8 @@
 	return &pb.Size{CpuMillis: uint32(s.CPUMillis), MemoryMb: uint32(s.MemoryMB), Gpus: uint32(s.GPUs)}
 }
 
-// Room returns s as a message that may have negative amounts.
-func (s Size) Room() *pb.Room {
+// RoomMessage returns s as a message that may have negative amounts.
+func (s Size) RoomMessage() *pb.Room {
 	return &pb.Room{CpuMillis: int32(s.CPUMillis), MemoryMb: int32(s.MemoryMB), Gpus: int32(s.GPUs)}
 }
 
@@ -47,9 +47,9 @@
 	return s.CPUMillis <= room.CPUMillis && s.MemoryMB <= room.MemoryMB && s.GPUs <= room.GPUs
 }
 
-// Share returns the largest share that s takes of any resource of the whole. Resources that the
+// MaxShare returns the largest share that s takes of any resource of the whole. Resources that the
 // whole doesn't have are ignored.
-func (s Size) Share(whole Size) float64 {
+func (s Size) MaxShare(whole Size) float64 {
 	share := 0.0
 	for _, r := range [...][2]int64{{s.CPUMillis, whole.CPUMillis}, {s.MemoryMB, whole.MemoryMB}, {s.GPUs, whole.GPUs}} {
 		if r[1] > 0 {
--- a/node/dispatcher/links.go
+++ b/node/dispatcher/links.go
@@ -93,7 +93,7 @@
 // Invite invites agents of this entry to link to another one.
 func (s *service) Invite(_ context.Context, req *connect.Request[pb.InviteRequest]) (*connect.Response[pb.InviteResponse], error) {
 	m := req.Msg
-	w := dispatcher.AgentRequest{Service: m.Service, Size: size.Of(m.Size), Label: m.Label, MaxAgents: int(min(m.Agents, maxInvitedAgents))}
+	w := dispatcher.AgentRequest{Service: m.Service, Size: size.FromMessage(m.Size), Label: m.Label, MaxAgents: int(min(m.Agents, maxInvitedAgents))}
 	invited := 0
 	s.d.decide(func(now time.Time) { invited = s.d.core.InviteAgents(now, m.Address, w) })
 	return connect.NewResponse(&pb.InviteResponse{Agents: uint32(invited)}), nil
