--- a/dispatch/dispatcher/dispatcher.go
+++ b/dispatch/dispatcher/dispatcher.go
@@ -255,7 +255,7 @@
 }
 
 func (d *Dispatcher) updateEntries(a *agent) {
-	entries := subset.First(a.name, d.entries, subset.Told)
+	entries := subset.First(a.name, d.entries, subset.Advertised)
 	if !slices.Equal(entries, a.entries) {
 		a.entries, a.sendEntries = entries, true
 		d.touch(a)
--- a/dispatch/dispatcher/invite.go
+++ b/dispatch/dispatcher/invite.go
@@ -49,7 +49,7 @@
 
 // partiallyLinked reports whether some agents have no link to this entry by design.
 func (d *Dispatcher) partiallyLinked() bool {
-	return len(d.entries) > subset.Links && !d.opts.Disabled.Has(without.Invitations)
+	return len(d.entries) > subset.LinksPerAgent && !d.opts.Disabled.Has(without.Invitations)
 }
 
 // requestAgents asks other entries for agents that may run a step's tasks, subject to backoff.
--- a/dispatch/dispatcher/invite_test.go
+++ b/dispatch/dispatcher/invite_test.go
@@ -12,7 +12,7 @@
 // setFleet gives the entry so many others that agents link to a subset only.
 func (b *fixture) setFleet() {
 	var entries []string
-	for i := range 3 * subset.Told {
+	for i := range 3 * subset.Advertised {
 		entries = append(entries, fmt.Sprintf("10.0.0.%d:1", i))
 	}
 	b.d.SetEntries(entries)
@@ -134,8 +134,8 @@
 	b := newFixture(t, "a")
 	b.setFleet()
 	a := b.agents["a-1"]
-	if len(a.entries) != subset.Told {
-		t.Fatalf("notified of %d entries, want %d", len(a.entries), subset.Told)
+	if len(a.entries) != subset.Advertised {
+		t.Fatalf("notified of %d entries, want %d", len(a.entries), subset.Advertised)
 	}
 	first := a.entries
 	ranked := subset.Rank("a", b.d.entries)
@@ -147,7 +147,7 @@
 	}
 	b.d.SetEntries(ranked[1:])
 	b.ready()
-	if len(a.entries) != subset.Told || a.entries[0] == first[0] {
+	if len(a.entries) != subset.Advertised || a.entries[0] == first[0] {
 		t.Errorf("notified of %v after the loss of its first choice", a.entries)
 	}
 }
--- a/dispatch/dispatcher/links.go
+++ b/dispatch/dispatcher/links.go
@@ -30,7 +30,7 @@
 // is up from the agent's first frame on.
 func (d *Dispatcher) LinkUp(now time.Time, g *pb.AgentGreeting) *pb.OrderFrame {
 	d.recordFirstInput(now)
-	entries := subset.First(g.Agent, d.entries, subset.Told)
+	entries := subset.First(g.Agent, d.entries, subset.Advertised)
 	d.handshakes[g.Incarnation] = handshake{g, now, entries, d.evacuations.Message()}
 	// The agent has closed its earlier link before it requested this one.
 	if a := d.agent(g.Incarnation); a != nil && a.session.IsUp() {
--- a/dispatch/dispatcher/place.go
+++ b/dispatch/dispatcher/place.go
@@ -211,7 +211,7 @@
 }
 
 // sharingEntries returns how many entries place work on the same worker.
-func (d *Dispatcher) sharingEntries() int { return min(max(1, len(d.entries)), subset.Links) }
+func (d *Dispatcher) sharingEntries() int { return min(max(1, len(d.entries)), subset.LinksPerAgent) }
 
 // urgency is the priority by which a job's work overtakes and is overtaken.
 func (j *job) urgency() uint32 {
--- a/dispatch/subset/subset.go
+++ b/dispatch/subset/subset.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// Links is how many entries an agent keeps links with. With up to that many entries the
+	// LinksPerAgent is how many entries an agent keeps links with. With up to that many entries the
 	// site is a full mesh. A link costs an agent about two frames a second at rest. With twelve
 	// links, an agent is left without a link one time in 4,000 when half of the entries are
 	// lost at once. In a site with four entries for each 17 workers, an entry then reaches 50
 	// workers: if it gets four times its share of the jobs and the fleet is 70 % utilized, its
 	// jobs fill a quarter of them.
-	Links = 12
-	// Told is how many entries are advertised to an agent: twice as many as it links to, so
+	LinksPerAgent = 12
+	// Advertised is how many entries are advertised to an agent: twice as many as it links to, so
 	// that it can replace those that it can't reach.
-	Told = 2 * Links
+	Advertised = 2 * LinksPerAgent
 )
 
 // Rank orders the addresses for a process, the most preferred first. The relative order of two
--- a/dispatch/subset/subset_test.go
+++ b/dispatch/subset/subset_test.go
@@ -20,7 +20,7 @@
 func chosenBy(agents, entries []string) map[string]int {
 	by := map[string]int{}
 	for _, a := range agents {
-		for _, e := range First(a, entries, Links) {
+		for _, e := range First(a, entries, LinksPerAgent) {
 			by[e]++
 		}
 	}
@@ -33,7 +33,7 @@
 func TestAgentsAreSpreadEvenly(t *testing.T) {
 	for _, c := range []struct{ entries, agents int }{{55, 240}, {120, 520}, {12, 66}} {
 		by := chosenBy(names("agent", c.agents), names("10.0.0", c.entries))
-		mean := float64(c.agents) * min(1, Links/float64(c.entries))
+		mean := float64(c.agents) * min(1, LinksPerAgent/float64(c.entries))
 		outside := 0
 		for _, n := range by {
 			if d := float64(n) - mean; d*d > 9*mean {
@@ -53,22 +53,22 @@
 	changed := append(slices.Clone(entries[1:]), "10.0.0-new")
 	moved := 0
 	for _, a := range agents {
-		before, after := First(a, entries, Links), First(a, changed, Links)
+		before, after := First(a, entries, LinksPerAgent), First(a, changed, LinksPerAgent)
 		for _, e := range after {
 			if !slices.Contains(before, e) {
 				moved++
 			}
 		}
 	}
-	if per := 240 * Links / 55; moved > 3*per {
+	if per := 240 * LinksPerAgent / 55; moved > 3*per {
 		t.Errorf("%d links moved; the removed entry had about %d, and the added one has as many", moved, per)
 	}
 }
 
 // Up to Links entries the site is a full mesh, in whatever order they are listed.
 func TestSmallSitesAreAFullMesh(t *testing.T) {
-	entries := names("10.0.0", Links)
-	if diff := cmp.Diff(entries, First("agent", entries, Links)); diff != "" {
+	entries := names("10.0.0", LinksPerAgent)
+	if diff := cmp.Diff(entries, First("agent", entries, LinksPerAgent)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -96,9 +96,9 @@
 	for _, n := range []int{1, 5, 24, 25, 183, 2500} {
 		entries := names("10.0.0", n)
 		want := Rank("agent-7", entries)
-		got := First("agent-7", entries, Told)
-		if n > Told {
-			want = want[:Told]
+		got := First("agent-7", entries, Advertised)
+		if n > Advertised {
+			want = want[:Advertised]
 		} else {
 			got = Rank("agent-7", got)
 		}
@@ -113,7 +113,7 @@
 		entries := names("10.0.0", n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				First("agent-7", entries, Told)
+				First("agent-7", entries, Advertised)
 			}
 		})
 	}
--- a/node/runner/entries.go
+++ b/node/runner/entries.go
@@ -45,7 +45,7 @@
 	invitationTime = 10 * time.Second
 	// maxTargets bounds the addresses that an agent remembers, to a multiple of those
 	// advertised to it. The ones listed most recently are kept.
-	maxTargets = 4 * subset.Told
+	maxTargets = 4 * subset.Advertised
 )
 
 // entries maintains links to a subset of the known entries; see package subset.
@@ -126,7 +126,7 @@
 		e.r.opts.Logger.Warn("entries_not_found", "err", err)
 		return
 	}
-	e.addAddresses(subset.First(e.r.opts.Core.Agent, addresses, subset.Told))
+	e.addAddresses(subset.First(e.r.opts.Core.Agent, addresses, subset.Advertised))
 }
 
 // addAddresses adds addresses of live entries, and opens links to those that are chosen.
@@ -185,9 +185,9 @@
 // linkCount returns the number of entries to maintain links to. The caller holds e.mu.
 func (e *entries) linkCount() int {
 	if e.linkedOnce {
-		return subset.Links
+		return subset.LinksPerAgent
 	}
-	return min(1+int(clock.Now().Sub(e.startedAt)/tryNextAfter), subset.Links)
+	return min(1+int(clock.Now().Sub(e.startedAt)/tryNextAfter), subset.LinksPerAgent)
 }
 
 // handleInvitations opens links to the entries that ask for one.
@@ -228,7 +228,7 @@
 		}
 	}
 	for _, t := range e.known {
-		if t.linked && !t.retiring && linked >= subset.Links && now.Sub(t.lastChosen) >= unchosenGrace {
+		if t.linked && !t.retiring && linked >= subset.LinksPerAgent && now.Sub(t.lastChosen) >= unchosenGrace {
 			t.retiring = true
 			retire = append(retire, t.incarnation)
 		}
