--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -226,7 +226,7 @@
 }
 
 func (d *Dispatcher) updateHealthState(now time.Time, a *agent) {
-	s := d.health.Standing(a.incarnation, now)
+	s := d.health.State(a.incarnation, now)
 	if s != a.healthState {
 		d.opts.OnDecision(Decision{Event: "worker_standing", Agent: a.name, Outcome: healthStateName(s)})
 		a.healthState = s
--- a/dispatch/dispatcher/dispatcher.go
+++ b/dispatch/dispatcher/dispatcher.go
@@ -168,7 +168,7 @@
 // Dispatcher is the state of one entry. It isn't safe for concurrent use.
 type Dispatcher struct {
 	opts   Options
-	health *health.Judge
+	health *health.Tracker
 
 	agents        []*agent // in order of arrival
 	byIncarnation map[string]*agent
--- a/dispatch/entry/policy.go
+++ b/dispatch/entry/policy.go
@@ -22,7 +22,7 @@
 	limits      *limit.Limiter
 	shares      *limit.Shares
 	sizes       *estimate.Estimator
-	health      *health.Judge
+	health      *health.Tracker
 	contracts   map[string]*pb.Contract // as last applied
 	lastRecheck time.Time               // when recheck last ran in full
 	// exchangeRequested is when an exchange with the other entries was last
@@ -201,7 +201,7 @@
 // updateAgent updates the scheduler's view of an agent.
 func (e *Entry) updateAgent(now time.Time, a *agent) *place.Agent {
 	name := a.hello.Agent
-	state := e.policy.health.Standing(name, now)
+	state := e.policy.health.State(name, now)
 	e.recordHealthState(now, a, state)
 	if !a.session.IsUp() || a.leaving {
 		state = place.Suspended
--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -4,7 +4,7 @@
 //
 // A suspended agent gets work again through a trial: a single task, which runs nowhere else.
 //
-// The package does no I/O, reads no clock and starts no goroutine. A [Judge] is not safe for
+// The package does no I/O, reads no clock and starts no goroutine. A [Tracker] is not safe for
 // concurrent use.
 package health
 
@@ -92,8 +92,8 @@
 	backoff        time.Duration
 }
 
-// Judge tracks the health state of agents. Use [New].
-type Judge struct {
+// Tracker tracks the health state of agents. Use [New].
+type Tracker struct {
 	options   Options
 	agents    map[string]*agent
 	kinds     map[kindKey]*kindTable
@@ -101,24 +101,24 @@
 }
 
 // New returns a Judge without agents.
-func New(options Options) *Judge {
+func New(options Options) *Tracker {
 	options.FirstBackoff = cmp.Or(options.FirstBackoff, DefaultFirstBackoff)
 	options.MaxBackoff = cmp.Or(options.MaxBackoff, DefaultMaxBackoff)
 	options.MaxSuspended = cmp.Or(options.MaxSuspended, DefaultMaxSuspended)
 	options.MaxKinds = cmp.Or(options.MaxKinds, DefaultMaxKinds)
-	return &Judge{options: options, agents: make(map[string]*agent), kinds: make(map[kindKey]*kindTable)}
+	return &Tracker{options: options, agents: make(map[string]*agent), kinds: make(map[kindKey]*kindTable)}
 }
 
 // Add adds an agent. If an agent process was restarted, call Remove first, so that it starts
 // without history.
-func (j *Judge) Add(name string) {
+func (j *Tracker) Add(name string) {
 	if j.agents[name] == nil {
 		j.agents[name] = &agent{backoff: j.options.FirstBackoff}
 	}
 }
 
 // Remove removes an agent.
-func (j *Judge) Remove(name string) {
+func (j *Tracker) Remove(name string) {
 	a := j.agents[name]
 	if a == nil {
 		return
@@ -130,9 +130,9 @@
 	}
 }
 
-// Standing returns the health state of an agent, which limits the work it may get at a time. A
+// State returns the health state of an agent, which limits the work it may get at a time. A
 // suspension that has expired becomes a trial.
-func (j *Judge) Standing(name string, now time.Time) place.Standing {
+func (j *Tracker) State(name string, now time.Time) place.Standing {
 	a := j.agents[name]
 	if a == nil {
 		return place.Open
@@ -145,7 +145,7 @@
 
 // Slowness returns how many times longer a task is expected to take than on other agents; 1 is
 // usual.
-func (j *Judge) Slowness(name string) float64 {
+func (j *Tracker) Slowness(name string) float64 {
 	a := j.agents[name]
 	if a == nil {
 		return 1
@@ -156,7 +156,7 @@
 
 // Report records the end of a task at an agent. It returns whether the agent's health state
 // changed.
-func (j *Judge) Report(name string, r Result, now time.Time) bool {
+func (j *Tracker) Report(name string, r Result, now time.Time) bool {
 	a := j.agents[name]
 	if a == nil {
 		return false
@@ -175,7 +175,7 @@
 	run         float64
 }
 
-func (j *Judge) evaluate(a *agent, o peerStats, r Result, now time.Time) {
+func (j *Tracker) evaluate(a *agent, o peerStats, r Result, now time.Time) {
 	if !o.known {
 		if a.state == place.Trial && !r.Failed {
 			j.endTrial(a)
@@ -204,7 +204,7 @@
 	}
 }
 
-func (j *Judge) suspend(a *agent, now time.Time) {
+func (j *Tracker) suspend(a *agent, now time.Time) {
 	if a.state == place.Open && float64(j.suspended+1) > j.options.MaxSuspended*float64(len(j.agents)) {
 		return
 	}
@@ -214,7 +214,7 @@
 
 // endTrial ends a successful trial. The averages that led to the suspension are halved, so that
 // the agent is suspended again sooner if the success was luck.
-func (j *Judge) endTrial(a *agent) {
+func (j *Tracker) endTrial(a *agent) {
 	j.setState(a, place.Open)
 	a.backoff = j.options.FirstBackoff
 	a.excessFailures /= 2
@@ -223,7 +223,7 @@
 
 // setState sets the health state of an agent. Agents on trial are counted as suspended, since
 // they take no significant share of the load.
-func (j *Judge) setState(a *agent, to place.Standing) {
+func (j *Tracker) setState(a *agent, to place.Standing) {
 	if a.state == place.Open && to != place.Open {
 		j.suspended++
 	}
@@ -233,7 +233,7 @@
 	a.state = to
 }
 
-func (j *Judge) table(key kindKey, now time.Time) *kindTable {
+func (j *Tracker) table(key kindKey, now time.Time) *kindTable {
 	table := j.kinds[key]
 	if table == nil {
 		if len(j.kinds) >= j.options.MaxKinds {
@@ -246,7 +246,7 @@
 	return table
 }
 
-func (j *Judge) evictOldestKind() {
+func (j *Tracker) evictOldestKind() {
 	var oldest kindKey
 	var table *kindTable
 	for key, t := range j.kinds {
--- a/dispatch/health/health_test.go
+++ b/dispatch/health/health_test.go
@@ -11,7 +11,7 @@
 var epoch = time.Unix(1000, 0)
 
 // fleet reports a number of rounds in which each agent ends one task.
-func fleet(agents int, rounds int, result func(agent, round int) Result) *Judge {
+func fleet(agents int, rounds int, result func(agent, round int) Result) *Tracker {
 	j := New(Options{})
 	for i := range agents {
 		j.Add(fmt.Sprint(i))
@@ -29,10 +29,10 @@
 	return Result{Contract: "c", Kind: "k", Run: run, Failed: true}
 }
 
-func suspended(j *Judge, agents int) []int {
+func suspended(j *Tracker, agents int) []int {
 	var found []int
 	for i := range agents {
-		if j.Standing(fmt.Sprint(i), epoch) == place.Suspended {
+		if j.State(fmt.Sprint(i), epoch) == place.Suspended {
 			found = append(found, i)
 		}
 	}
@@ -104,7 +104,7 @@
 			}
 			return done(100 * time.Millisecond)
 		})
-		if got := j.Standing("0", epoch); got != c.state {
+		if got := j.State("0", epoch); got != c.state {
 			t.Errorf("%d times slower: health state %v", c.factor, got)
 		}
 		if got := j.Slowness("0"); got < 0.8*float64(c.factor) && c.state == place.Open {
@@ -125,26 +125,26 @@
 	})
 	now := epoch
 	for _, backoff := range []time.Duration{1, 2, 4} {
-		if got := j.Standing("0", now.Add(backoff*time.Second-1)); got != place.Suspended {
+		if got := j.State("0", now.Add(backoff*time.Second-1)); got != place.Suspended {
 			t.Fatalf("before %d s: %v", backoff, got)
 		}
 		now = now.Add(backoff * time.Second)
-		if got := j.Standing("0", now); got != place.Trial {
+		if got := j.State("0", now); got != place.Trial {
 			t.Fatalf("after %d s: %v", backoff, got)
 		}
 		j.Report("0", failed(time.Millisecond), now)
 	}
 	now = now.Add(8 * time.Second)
-	j.Standing("0", now)
+	j.State("0", now)
 	// The trial task fails everywhere, so it says nothing about the agent.
 	for i := range 11 {
 		j.Report(fmt.Sprint(10-i), Result{Contract: "broken", Kind: "k", Failed: true}, now)
 	}
-	if got := j.Standing("0", now); got != place.Trial {
+	if got := j.State("0", now); got != place.Trial {
 		t.Errorf("after a broken job on trial: %v", got)
 	}
-	if !j.Report("0", done(time.Second), now) || j.Standing("0", now) != place.Open {
-		t.Errorf("after a good trial: %v", j.Standing("0", now))
+	if !j.Report("0", done(time.Second), now) || j.State("0", now) != place.Open {
+		t.Errorf("after a good trial: %v", j.State("0", now))
 	}
 }
 
