--- a/dispatch/entry/policy.go
+++ b/dispatch/entry/policy.go
@@ -114,10 +114,10 @@
 			s.Memory = min(s.Memory, largest, c.MemoryBytes)
 		}
 		w.Tasks[i] = place.Task{Number: uint32(i), Run: s.Run, Memory: s.Memory}
-		w.MinRun = s.LikelyRun
+		w.MinRun = s.MedianRun
 		r.MemoryBytes = max(r.MemoryBytes, s.Memory)
 		r.Work += s.Run
-		r.MinRun, r.LikelyRun = s.MinRun, s.LikelyRun
+		r.MinRun, r.LikelyRun = s.MinRun, s.MedianRun
 	}
 	place.LongestFirst(w.Tasks)
 	w.Due = place.Due(now, w.Deadline, w.Tasks, e.policy.sched.Pool.Slots())
--- a/dispatch/estimate/estimate.go
+++ b/dispatch/estimate/estimate.go
@@ -86,7 +86,7 @@
 	// run time within which half of them ended. Both are zero if they are not known well enough
 	// to refuse a job because of them.
 	MinRun    time.Duration
-	LikelyRun time.Duration
+	MedianRun time.Duration
 	// Certain reports whether a job may be refused because of Memory: Memory is what the caller
 	// declares for an unknown kind, or it is based on enough recent reports. Old reports are no
 	// reason, since refusals prevent the very reports that could correct them.
@@ -153,7 +153,7 @@
 	if now.Sub(k.lastReport) <= e.options.MaxReportAge {
 		estimate.Certain = k.memory.count() >= minReports
 		if k.run.count() >= minReports {
-			estimate.MinRun, estimate.LikelyRun = k.minRun, k.medianRun
+			estimate.MinRun, estimate.MedianRun = k.minRun, k.medianRun
 		}
 	}
 	return estimate
