--- a/dispatch/entry/agents.go
+++ b/dispatch/entry/agents.go
@@ -45,9 +45,9 @@
 	forgetAgentAfter = 10 * time.Minute
 )
 
-// AgentSeen handles an agent's announcement. A new incarnation replaces the old
+// AgentAnnounced handles an agent's announcement. A new incarnation replaces the old
 // one, whose process has ended. Relink requests a new link to the same process.
-func (e *Entry) AgentSeen(now time.Time, hello *pb.AgentHello, relink, leaving bool) {
+func (e *Entry) AgentAnnounced(now time.Time, hello *pb.AgentHello, relink, leaving bool) {
 	if slices.Contains(e.pastIncarnations[hello.Agent], hello.Incarnation) {
 		// A stale announcement, delayed until after that of the next process. Handling
 		// it would abandon every task that runs in the current process.
@@ -170,9 +170,9 @@
 	}
 }
 
-// TellPeers sets the live entries and sends them to every agent. They are sent
+// NotifyPeers sets the live entries and sends them to every agent. They are sent
 // again on each new link, so a frame lost with its link does no harm.
-func (e *Entry) TellPeers(peers []*pb.Peer) {
+func (e *Entry) NotifyPeers(peers []*pb.Peer) {
 	e.peers = peers
 	for _, a := range e.agents {
 		if a.session.IsUp() {
@@ -411,7 +411,7 @@
 		t.seq = f.Seq
 	}
 	a.pendingStarts = a.pendingStarts[:0]
-	e.ready.Frames = append(e.ready.Frames, Out{Agent: a.hello.Agent, Epoch: a.session.Epoch(), Frame: f})
+	e.ready.Frames = append(e.ready.Frames, OutgoingFrame{Agent: a.hello.Agent, Epoch: a.session.Epoch(), Frame: f})
 }
 
 func addStart(now time.Time, batches []*pb.StartBatch, t *taskState) []*pb.StartBatch {
--- a/dispatch/entry/agents_test.go
+++ b/dispatch/entry/agents_test.go
@@ -23,7 +23,7 @@
 		Random:   func() float64 { return 0.5 },
 	})
 	hello := &pb.AgentHello{Agent: "a", Incarnation: "1", Slots: 1}
-	e.AgentSeen(now, hello, false, false)
+	e.AgentAnnounced(now, hello, false, false)
 	dials := 0
 	advance := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(50 * time.Millisecond) {
@@ -47,7 +47,7 @@
 		t.Errorf("%d agents listed, want it removed", n)
 	}
 	dials = 0
-	e.AgentSeen(now, hello, false, false)
+	e.AgentAnnounced(now, hello, false, false)
 	if dials += len(e.Ready(now).Dials); dials != 1 {
 		t.Errorf("%d dials of the agent that came back, want 1", dials)
 	}
--- a/dispatch/entry/bench_test.go
+++ b/dispatch/entry/bench_test.go
@@ -47,7 +47,7 @@
 	for i := range benchAgents {
 		hello := &pb.AgentHello{Agent: "a" + strconv.Itoa(i), Incarnation: strconv.Itoa(i), Slots: benchSlots, MemoryBytes: 1 << 40}
 		p.agents = append(p.agents, agent.New(agent.Options{Hello: hello}))
-		p.entry.AgentSeen(p.now, hello, false, false)
+		p.entry.AgentAnnounced(p.now, hello, false, false)
 	}
 	p.settle()
 	return p
--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -64,8 +64,8 @@
 	MaxJobs int
 	// MaxAnswerBytes bounds the total size of the results in the answers kept.
 	MaxAnswerBytes int
-	// Door configures how the homes of caller-made keys are resolved.
-	Door door.Options
+	// KeyResolver configures how the homes of caller-made keys are resolved.
+	KeyResolver door.Options
 	// MaxRetiredIDs bounds the ids remembered as not to be started again. Beyond it
 	// the oldest tokens expire early.
 	MaxRetiredIDs int
@@ -101,8 +101,8 @@
 	o.AnswerTTL = cmp.Or(o.AnswerTTL, DefaultAnswerTTL)
 	o.TokenTTL = cmp.Or(o.TokenTTL, DefaultTokenTTL)
 	o.TokenPeriod = cmp.Or(o.TokenPeriod, min(job.TokenPeriod, o.TokenTTL/4))
-	o.Door.KeyTTL = cmp.Or(o.Door.KeyTTL, o.TokenTTL)
-	o.Door = o.Door.WithDefaults()
+	o.KeyResolver.KeyTTL = cmp.Or(o.KeyResolver.KeyTTL, o.TokenTTL)
+	o.KeyResolver = o.KeyResolver.WithDefaults()
 	o.RevokeWait = cmp.Or(o.RevokeWait, DefaultRevokeWait)
 	o.RecoverWait = cmp.Or(o.RecoverWait, DefaultRecoverWait)
 	o.AgentLostAfter = cmp.Or(o.AgentLostAfter, DefaultAgentLostAfter)
@@ -137,8 +137,8 @@
 	o.MessageCost = cmp.Or(o.MessageCost, p.MessageCost)
 }
 
-// Out is a frame for one agent.
-type Out struct {
+// OutgoingFrame is a frame for one agent.
+type OutgoingFrame struct {
 	Agent string // name
 	Epoch uint64
 	Frame *pb.EntryFrame
@@ -152,8 +152,8 @@
 	Hello   *pb.EntryHello
 }
 
-// Ended is the final answer of a job.
-type Ended struct {
+// JobAnswer is the final answer of a job.
+type JobAnswer struct {
 	Contract string
 	Answer   *pb.Answer
 }
@@ -161,8 +161,8 @@
 // Ready holds the actions that the driver must carry out, in any order.
 type Ready struct {
 	Dials   []Dial
-	Frames  []Out
-	Answers []Ended
+	Frames  []OutgoingFrame
+	Answers []JobAnswer
 	// Exchange requests an immediate exchange with the other entries: this one
 	// waits for a share of a contract that they hold.
 	Exchange bool
@@ -204,7 +204,7 @@
 		pastIncarnations: make(map[string][]string),
 		jobs:             make(map[string]*jobState),
 		retired:          newRetiredIDs(opts.Started, opts),
-		keyResolver:      door.New(opts.Hello.Incarnation, opts.Door),
+		keyResolver:      door.New(opts.Hello.Incarnation, opts.KeyResolver),
 		recoveries:       make(map[string]*recovery),
 	}
 }
@@ -234,10 +234,10 @@
 	return n
 }
 
-// End notifies every agent that this process is about to exit. Call it once
+// NotifyExit notifies every agent that this process is about to exit. Call it once
 // drained, and allow the frames of the following Ready time to be sent: agents that
 // miss them wait for this entry until they time it out.
-func (e *Entry) End(now time.Time) {
+func (e *Entry) NotifyExit(now time.Time) {
 	e.exiting = true
 	for _, a := range e.agents {
 		a.dirty = a.session.IsUp()
--- a/dispatch/entry/events.go
+++ b/dispatch/entry/events.go
@@ -50,7 +50,7 @@
 }
 
 // recordAnswers records the answers that Ready returns.
-func (e *Entry) recordAnswers(now time.Time, answers []Ended) {
+func (e *Entry) recordAnswers(now time.Time, answers []JobAnswer) {
 	for _, ended := range answers {
 		a, took := ended.Answer, time.Duration(0)
 		if js := e.jobs[job.Name(ended.Contract, a.Job)]; js != nil {
--- a/dispatch/entry/fuzz_test.go
+++ b/dispatch/entry/fuzz_test.go
@@ -71,10 +71,10 @@
 			return
 		}
 		b := newFixture(t, 1, contractOf("desk"))
-		b.entry.PeersSeen(b.now, []string{"other"}, []string{"desk"})
+		b.entry.UpdateEntries(b.now, []string{"other"}, []string{"desk"})
 		state.Entry = "other"
-		b.entry.SharesSeen(b.now, &state)
-		b.entry.PeersSeen(b.now, []string{"other"}, []string{"desk"})
+		b.entry.ReceiveShares(b.now, &state)
+		b.entry.UpdateEntries(b.now, []string{"other"}, []string{"desk"})
 		_ = b.entry.ShareState()
 		b.settle()
 	})
--- a/dispatch/entry/job.go
+++ b/dispatch/entry/job.go
@@ -307,7 +307,7 @@
 	e.answerBytes += js.resultBytes
 	e.deadlines.Remove(js.heapPos)
 	e.answeredJobs = append(e.answeredJobs, js)
-	e.ready.Answers = append(e.ready.Answers, Ended{Contract: js.job.Contract, Answer: a})
+	e.ready.Answers = append(e.ready.Answers, JobAnswer{Contract: js.job.Contract, Answer: a})
 }
 
 // taskEnded applies a task's result.
--- a/dispatch/entry/keys.go
+++ b/dispatch/entry/keys.go
@@ -13,10 +13,10 @@
 // keyPeriod stands in for the period of an id that is a caller-made key.
 const keyPeriod = math.MaxUint64
 
-// Door returns the component that resolves the homes of caller-made keys. The driver
+// KeyResolver returns the component that resolves the homes of caller-made keys. The driver
 // must supply its inputs, serialized with those of the Entry; until then no key is
 // served.
-func (e *Entry) Door() *door.Door { return e.keyResolver }
+func (e *Entry) KeyResolver() *door.Door { return e.keyResolver }
 
 // KeyHome returns the home of a job whose id is a caller-made key. A job that is
 // known here is served here, even if its key would have another home by now.
@@ -46,7 +46,7 @@
 	}
 	verdict, _ := e.KeyHome(now, j)
 	first := time.UnixMilli(j.FirstSentUnixMs)
-	if verdict != door.Mine || !e.retired.keyLive(now, first.Add(-e.opts.Door.Skew)) {
+	if verdict != door.Mine || !e.retired.keyLive(now, first.Add(-e.opts.KeyResolver.Skew)) {
 		return Answered, KeyUnknown(j.Id)
 	}
 	queued, answer := e.admit(now, j, name)
@@ -62,7 +62,7 @@
 // KeyUnknown returns the answer for a key of which no reachable entry can rule out
 // that it was started before.
 func KeyUnknown(id string) *pb.Answer {
-	return AskAgain(id, "no entry can rule out that the key was started before; see first_sent_unix_ms")
+	return RetryLater(id, "no entry can rule out that the key was started before; see first_sent_unix_ms")
 }
 
 // addKey adds a key to the newest period.
--- a/dispatch/entry/policy_test.go
+++ b/dispatch/entry/policy_test.go
@@ -59,7 +59,7 @@
 	for i := range agents {
 		hello := &pb.AgentHello{Agent: fmt.Sprint("agent-", i), Incarnation: fmt.Sprint(i), Slots: 8, MemoryBytes: 32 * gib}
 		b.agents[hello.Agent] = agent.New(agent.Options{Hello: hello})
-		b.entry.AgentSeen(b.now, hello, false, false)
+		b.entry.AgentAnnounced(b.now, hello, false, false)
 	}
 	b.settle()
 	return b
--- a/dispatch/entry/recover.go
+++ b/dispatch/entry/recover.go
@@ -54,7 +54,7 @@
 	}
 	c := e.opts.Contract(j.Contract)
 	if c == nil || len(j.Tasks) == 0 || len(e.recoveries) >= e.opts.MaxRecoveries {
-		return AskAgain(j.Id, "the job's home is gone, and its results can't be collected now")
+		return RetryLater(j.Id, "the job's home is gone, and its results can't be collected now")
 	}
 	r := &recovery{
 		name: name, job: j, digest: digestOf(j), homeEnded: homeEnded, reachDeadline: now.Add(e.opts.RecoverWait),
@@ -164,9 +164,9 @@
 		e.endRecovery(now, r, a, e.opts.AnswerTTL)
 	case r.pending() || len(r.running) > 0:
 	case r.homeAlive:
-		e.endRecovery(now, r, AskAgain(r.job.Id, "the job's home is alive but can't be reached from here"), unknownTTL)
+		e.endRecovery(now, r, RetryLater(r.job.Id, "the job's home is alive but can't be reached from here"), unknownTTL)
 	default:
-		e.endRecovery(now, r, AskAgain(r.job.Id, "the job's home is gone and not every result was found"), unknownTTL)
+		e.endRecovery(now, r, RetryLater(r.job.Id, "the job's home is gone and not every result was found"), unknownTTL)
 	}
 }
 
@@ -183,7 +183,7 @@
 	r.answer = a
 	r.expiresAt = now.Add(keep)
 	e.endedRecoveries = append(e.endedRecoveries, r)
-	e.ready.Answers = append(e.ready.Answers, Ended{Contract: r.job.Contract, Answer: a})
+	e.ready.Answers = append(e.ready.Answers, JobAnswer{Contract: r.job.Contract, Answer: a})
 }
 
 // next returns when expireRecoveries has to handle the recovery.
@@ -201,7 +201,7 @@
 	for _, name := range e.recoveryNames() {
 		r := e.recoveries[name]
 		if r.answer == nil && !now.Before(r.next()) {
-			e.endRecovery(now, r, AskAgain(r.job.Id, "the job's home is gone and not every agent was reached"), unknownTTL)
+			e.endRecovery(now, r, RetryLater(r.job.Id, "the job's home is gone and not every agent was reached"), unknownTTL)
 		}
 	}
 	e.endedRecoveries = slices.DeleteFunc(e.endedRecoveries, func(r *recovery) bool {
@@ -220,8 +220,8 @@
 	return slices.Sorted(maps.Keys(e.recoveries))
 }
 
-// AskAgain returns an answer with an unknown outcome and a time to retry after.
-func AskAgain(id, message string) *pb.Answer {
+// RetryLater returns an answer with an unknown outcome and a time to retry after.
+func RetryLater(id, message string) *pb.Answer {
 	a := unknown(id, jobs.CodeHomeLost, message)
 	a.RetryAfterMs = uint32(unknownTTL / time.Millisecond)
 	return a
--- a/dispatch/entry/shares.go
+++ b/dispatch/entry/shares.go
@@ -9,12 +9,12 @@
 	"github.com/papayahoist/papayahoist/dispatch/limit"
 )
 
-// PeersSeen sets the incarnations of the other entries that may start tasks. The
+// UpdateEntries sets the incarnations of the other entries that may start tasks. The
 // driver must include an entry until it certainly starts nothing any more: it
 // announced its exit and ended, or its lease has lapsed at the store and no process
 // has received anything from it since. All contracts in force are passed, so that
 // they are divided before the first job of each.
-func (e *Entry) PeersSeen(now time.Time, others []string, contracts []string) {
+func (e *Entry) UpdateEntries(now time.Time, others []string, contracts []string) {
 	for _, name := range contracts {
 		e.contract(now, name)
 	}
@@ -43,9 +43,9 @@
 	e.applyShares(now)
 }
 
-// HoldsParts reports whether the entry holds a share of any contract, so that it may
+// HoldsShares reports whether the entry holds a share of any contract, so that it may
 // start tasks. It is also true while no contract allows any task.
-func (e *Entry) HoldsParts() bool {
+func (e *Entry) HoldsShares() bool {
 	none := true
 	for name := range e.policy.contracts {
 		slots, total := e.policy.shares.Part(name)
@@ -95,9 +95,9 @@
 	}
 }
 
-// SharesSeen applies another entry's ShareState. States of one entry must be passed
+// ReceiveShares applies another entry's ShareState. States of one entry must be passed
 // in the order in which it made them.
-func (e *Entry) SharesSeen(now time.Time, m *pb.ShareState) {
+func (e *Entry) ReceiveShares(now time.Time, m *pb.ShareState) {
 	if !e.otherEntries[m.GetEntry()] {
 		// The entry is gone or not announced yet. Applying its state would make it a
 		// member that is never removed.
--- a/dispatch/entry/status.go
+++ b/dispatch/entry/status.go
@@ -66,20 +66,20 @@
 	return 0
 }
 
-// Use is the resource usage of one contract's tasks at this entry.
-type Use struct {
+// ContractUsage is the resource usage of one contract's tasks at this entry.
+type ContractUsage struct {
 	Waiting, Running uint32
 	// MemoryBytes is the memory reserved for the running tasks.
 	MemoryBytes uint64
 }
 
-// Uses returns the usage by contract, for contracts with waiting or running tasks.
+// Usage returns the usage by contract, for contracts with waiting or running tasks.
 // Its cost grows with the number of tasks at agents.
-func (e *Entry) Uses() map[string]Use {
-	uses := make(map[string]Use)
+func (e *Entry) Usage() map[string]ContractUsage {
+	uses := make(map[string]ContractUsage)
 	for name := range e.policy.contracts {
 		if n := e.policy.sched.WaitingOf(name); n > 0 {
-			uses[name] = Use{Waiting: uint32(n)}
+			uses[name] = ContractUsage{Waiting: uint32(n)}
 		}
 	}
 	for _, a := range e.agents {
@@ -93,10 +93,10 @@
 	return uses
 }
 
-// Answered returns the response time, counted from acceptance, of a job that Ready
+// ResponseTime returns the response time, counted from acceptance, of a job that Ready
 // has just answered, and the ideal response time, which is the longest run time of
 // its tasks. It reports false if the job was not accepted here.
-func (e *Entry) Answered(a Ended) (response, ideal time.Duration, ok bool) {
+func (e *Entry) ResponseTime(a JobAnswer) (response, ideal time.Duration, ok bool) {
 	js := e.jobs[job.Name(a.Contract, a.Answer.Job)]
 	if js == nil || js.answer == nil {
 		return 0, 0, false
--- a/dispatch/internal/capacity/cell_test.go
+++ b/dispatch/internal/capacity/cell_test.go
@@ -105,7 +105,7 @@
 			Events:   event.NewRing(event.Options{Process: fmt.Sprint("entry-", i)}),
 		})}
 		others := append(append([]string{}, ids[:i]...), ids[i+1:]...)
-		n.core.PeersSeen(c.now, others, names)
+		n.core.UpdateEntries(c.now, others, names)
 		c.entries = append(c.entries, n)
 		c.byEntry[id] = n
 	}
@@ -146,7 +146,7 @@
 	})}
 	c.byName[n.name] = n
 	for _, e := range c.entries {
-		c.timeEntry(func() { e.core.AgentSeen(c.now, hello, false, false) })
+		c.timeEntry(func() { e.core.AgentAnnounced(c.now, hello, false, false) })
 	}
 	return n
 }
@@ -333,7 +333,7 @@
 	for _, from := range c.entries {
 		for _, to := range c.entries {
 			if from != to {
-				c.timeEntry(func() { to.core.SharesSeen(c.now, from.core.ShareState()) })
+				c.timeEntry(func() { to.core.ReceiveShares(c.now, from.core.ShareState()) })
 			}
 		}
 	}
--- a/dispatch/modelcheck/process.go
+++ b/dispatch/modelcheck/process.go
@@ -147,7 +147,7 @@
 	draining := a.draining
 	w.after(w.randomDelay(), func() {
 		w.run(&e.process, func() {
-			e.core.AgentSeen(w.now, hello, relink, draining)
+			e.core.AgentAnnounced(w.now, hello, relink, draining)
 			w.pumpEntry(e)
 		})
 	})
--- a/dispatch/modelcheck/profile.go
+++ b/dispatch/modelcheck/profile.go
@@ -225,7 +225,7 @@
 			return
 		}
 		if e.core.Drained() && !w.now.Before(e.pausedUntil) {
-			e.core.End(w.now)
+			e.core.NotifyExit(w.now)
 			w.pumpEntry(e)
 			w.endEntry(i, "ends after its drain")
 			return
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -255,7 +255,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if !e.killed.Load() {
-		e.step(e.core.End)
+		e.step(e.core.NotifyExit)
 		_ = servers[0].Shutdown(ctx)
 		time.Sleep(exitFrameDelay)
 	}
--- a/node/entry/nodes.go
+++ b/node/entry/nodes.go
@@ -38,7 +38,7 @@
 	}
 	s.e.step(func(now time.Time) {
 		s.e.opts.Core.Events.Observe(m.Clock, now)
-		s.e.core.AgentSeen(now, m.Agent, m.Relink, m.Leaving)
+		s.e.core.AgentAnnounced(now, m.Agent, m.Relink, m.Leaving)
 	})
 	resp := &pb.AnnounceResponse{
 		Entry: s.e.opts.Hello, Peers: s.e.opts.Peers(), Clock: s.e.opts.Core.Events.Stamp(time.Now()),
--- a/node/entry/operators.go
+++ b/node/entry/operators.go
@@ -46,7 +46,7 @@
 // Status implements operator.StatusSource.
 func (e *Entry) Status() *pb.StatusResponse {
 	e.mu.Lock()
-	agents, usage := e.core.AgentStatuses(), e.core.Uses()
+	agents, usage := e.core.AgentStatuses(), e.core.Usage()
 	e.mu.Unlock()
 	s := &pb.StatusResponse{
 		Process:       e.opts.Hello.Entry,
@@ -75,7 +75,7 @@
 }
 
 // contractStatuses returns the status of the contracts in force, sorted by name.
-func (e *Entry) contractStatuses(usage map[string]entry.Use) []*pb.ContractStatus {
+func (e *Entry) contractStatuses(usage map[string]entry.ContractUsage) []*pb.ContractStatus {
 	var list []*pb.ContractStatus
 	for _, c := range e.contracts() {
 		series, use := e.opts.Metrics.Contract(c.Name), usage[c.Name]
@@ -163,12 +163,12 @@
 }
 
 // countAnswer counts the outcome of a job that Ready has just answered.
-func (e *Entry) countAnswer(answered entry.Ended) {
+func (e *Entry) countAnswer(answered entry.JobAnswer) {
 	a, c := answered.Answer, e.series(answered.Contract)
 	switch a.Outcome {
 	case pb.Outcome_OUTCOME_COMPLETE:
 		c.Served.Add(1)
-		if response, ideal, ok := e.core.Answered(answered); ok {
+		if response, ideal, ok := e.core.ResponseTime(answered); ok {
 			c.Response(response, ideal)
 		}
 	case pb.Outcome_OUTCOME_NOT_RUN:
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -37,7 +37,7 @@
 	now := time.Now()
 	state.Clock = e.opts.Core.Events.Stamp(now)
 	e.extendShares(to, state)
-	stamp, echoes := e.core.Door().State(now)
+	stamp, echoes := e.core.KeyResolver().State(now)
 	state.DoorUnixNs = stamp.UnixNano()
 	for _, echo := range echoes {
 		state.DoorEchoes = append(state.DoorEchoes, &pb.DoorEcho{Entry: echo.Entry, UnixNs: echo.Stamp.UnixNano()})
@@ -77,7 +77,7 @@
 			return
 		}
 		e.sharesReceived[sender] = state.Clock
-		e.core.SharesSeen(now, state.Shares)
+		e.core.ReceiveShares(now, state.Shares)
 	})
 }
 
@@ -89,7 +89,7 @@
 	for _, echo := range state.DoorEchoes {
 		echoes = append(echoes, door.Echo{Entry: echo.Entry, Stamp: time.Unix(0, echo.UnixNs)})
 	}
-	e.core.Door().Heard(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
+	e.core.KeyResolver().Heard(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
 }
 
 // Announced records that the entry's announcement in the store is valid until the
@@ -98,7 +98,7 @@
 func (e *Entry) Announced(until time.Time) (list bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.core.Door().Announced(time.Now(), until)
+	return e.core.KeyResolver().Announced(time.Now(), until)
 }
 
 // Listed applies the complete list of entries in the store, read in a call that
@@ -106,7 +106,7 @@
 func (e *Entry) Listed(readAt time.Time, incarnations []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Door().Listed(time.Now(), readAt, incarnations)
+	e.core.KeyResolver().Listed(time.Now(), readAt, incarnations)
 }
 
 // SetPeers sets the live entries, including this one, and notifies the agents of a
@@ -119,7 +119,7 @@
 	e.step(func(time.Time) {
 		if !slices.Equal(advertised, e.advertised) {
 			e.advertised = advertised
-			e.core.TellPeers(peers)
+			e.core.NotifyPeers(peers)
 		}
 	})
 }
@@ -133,7 +133,7 @@
 			received[incarnation], acked[incarnation] = e.sharesReceived[incarnation], e.sharesAcked[incarnation]
 		}
 		e.sharesReceived, e.sharesAcked = received, acked
-		e.core.PeersSeen(now, others, contracts)
+		e.core.UpdateEntries(now, others, contracts)
 		e.core.Fence(now, fenced)
 	})
 }
@@ -143,5 +143,5 @@
 func (e *Entry) HoldsParts() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.core.HoldsParts()
+	return e.core.HoldsShares()
 }
--- a/node/entry/route.go
+++ b/node/entry/route.go
@@ -35,7 +35,7 @@
 		ended = result == homeEnded
 	}
 	if rq.fetch || rq.cancel || len(rq.job.Tasks) == 0 {
-		return reply{answer: entry.AskAgain(id, "the job's home does not reply; submit the job again to recover its results"), known: true}
+		return reply{answer: entry.RetryLater(id, "the job's home does not reply; submit the job again to recover its results"), known: true}
 	}
 	return e.recover(ctx, rq, ended)
 }
--- a/node/entry/unresponsive_test.go
+++ b/node/entry/unresponsive_test.go
@@ -170,7 +170,7 @@
 		Hello:         &pb.EntryHello{Entry: name, Incarnation: entry.NewIncarnation()},
 		CallersListen: "127.0.0.1:0", NodesListen: "127.0.0.1:0",
 		Contract: func(string) *pb.Contract { return contract }, Peers: peers,
-		Core:   coreentry.Options{Link: shortLinkTimeouts, Door: door.Options{Skew: keySkew}},
+		Core:   coreentry.Options{Link: shortLinkTimeouts, KeyResolver: door.Options{Skew: keySkew}},
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
