--- a/dispatch/door/door.go
+++ b/dispatch/door/door.go
@@ -31,8 +31,8 @@
 	return o
 }
 
-// Door resolves the homes of keys for one entry.
-type Door struct {
+// Resolver resolves the homes of keys for one entry.
+type Resolver struct {
 	opts    Options
 	self    string
 	members map[string]*member
@@ -55,13 +55,13 @@
 }
 
 // New returns a Door for the entry with the given incarnation.
-func New(self string, opts Options) *Door {
-	return &Door{opts: opts.WithDefaults(), self: self, members: make(map[string]*member)}
+func New(self string, opts Options) *Resolver {
+	return &Resolver{opts: opts.WithDefaults(), self: self, members: make(map[string]*member)}
 }
 
-// Announced records that the announcement is valid until the given time, counted
+// AnnouncementRenewed records that the announcement is valid until the given time, counted
 // from before the call that renewed it. It reports whether the list must be read.
-func (d *Door) Announced(now, until time.Time) (list bool) {
+func (d *Resolver) AnnouncementRenewed(now, until time.Time) (list bool) {
 	if !now.Before(d.announcedUntil) {
 		// It may have lapsed, and the other entries have excluded this one.
 		d.listedAt, d.ownsSince = time.Time{}, time.Time{}
@@ -70,10 +70,10 @@
 	return d.listedAt.IsZero()
 }
 
-// Listed applies the whole list of announced entries. ReadAt is a time before the
-// call that read the list and after Announced. Call Listed also when an announcement
+// ApplyList applies the whole list of announced entries. ReadAt is a time before the
+// call that read the list and after Announced. Call ApplyList also when an announcement
 // is reported to be gone.
-func (d *Door) Listed(now, readAt time.Time, incarnations []string) {
+func (d *Resolver) ApplyList(now, readAt time.Time, incarnations []string) {
 	for inc, m := range d.members {
 		// A member whose state was received since may have announced itself after the
 		// list was read.
@@ -95,7 +95,7 @@
 
 // include returns the member of another entry and includes it in the hashing. It
 // returns nil for this entry.
-func (d *Door) include(incarnation string) *member {
+func (d *Resolver) include(incarnation string) *member {
 	if incarnation == d.self || incarnation == "" {
 		return nil
 	}
@@ -116,7 +116,7 @@
 
 // State returns what to send to the other entries: a timestamp, and the echoes for
 // the entries that are included.
-func (d *Door) State(now time.Time) (stamp time.Time, echoes []Echo) {
+func (d *Resolver) State(now time.Time) (stamp time.Time, echoes []Echo) {
 	for inc, m := range d.members {
 		if m.removedAt.IsZero() && !m.lastStamp.IsZero() {
 			echoes = append(echoes, Echo{Entry: inc, Stamp: m.lastStamp})
@@ -126,8 +126,8 @@
 	return now, echoes
 }
 
-// Heard applies another entry's State.
-func (d *Door) Heard(now time.Time, from string, stamp time.Time, echoes []Echo) {
+// ReceiveState applies another entry's State.
+func (d *Resolver) ReceiveState(now time.Time, from string, stamp time.Time, echoes []Echo) {
 	m := d.include(from)
 	if m == nil {
 		return
@@ -146,7 +146,7 @@
 
 // updateOwnership makes this entry own keys once every entry on its first list has
 // confirmed it.
-func (d *Door) updateOwnership(now time.Time) {
+func (d *Resolver) updateOwnership(now time.Time) {
 	if !d.ownsSince.IsZero() || d.listedAt.IsZero() {
 		return
 	}
@@ -163,19 +163,19 @@
 
 // Verdicts.
 const (
-	// Unsure: no entry is known to own the key. The job's outcome is unknown.
-	Unsure Verdict = iota
-	// Mine: this entry may start the key.
-	Mine
-	// Other: the named entry is the key's home.
-	Other
+	// Unknown: no entry is known to own the key. The job's outcome is unknown.
+	Unknown Verdict = iota
+	// Local: this entry may start the key.
+	Local
+	// Remote: the named entry is the key's home.
+	Remote
 )
 
 // Home returns which entry is home to a key that was first sent at the given time of
 // the caller's clock.
-func (d *Door) Home(now time.Time, key string, firstSent time.Time) (Verdict, string) {
+func (d *Resolver) Home(now time.Time, key string, firstSent time.Time) (Verdict, string) {
 	if firstSent.After(now.Add(d.opts.Skew)) || firstSent.Before(now.Add(-d.opts.KeyTTL)) {
-		return Unsure, ""
+		return Unknown, ""
 	}
 	from := firstSent.Add(-d.opts.Skew)
 	names := []string{d.self}
@@ -191,9 +191,9 @@
 	home := rendezvous.New(names, xxhash.Sum64String).Lookup(key)
 	switch {
 	case home != d.self && d.members[home].removedAt.IsZero():
-		return Other, home
+		return Remote, home
 	case home != d.self || d.ownsSince.IsZero() || from.Before(d.ownsSince) || !now.Before(d.announcedUntil):
-		return Unsure, ""
+		return Unknown, ""
 	}
-	return Mine, d.self
+	return Local, d.self
 }
--- a/dispatch/door/door_test.go
+++ b/dispatch/door/door_test.go
@@ -19,7 +19,7 @@
 // allowed skew.
 type process struct {
 	name        string
-	door        *door.Door
+	door        *door.Resolver
 	clockOffset time.Duration
 	pausedUntil time.Time // end of its pause
 	alive       bool
@@ -75,7 +75,7 @@
 		return
 	}
 	w.leases[p.name] = w.now.Add(leaseTTL)
-	p.door.Announced(w.clock(p), w.clock(p).Add(leaseTTL-step))
+	p.door.AnnouncementRenewed(w.clock(p), w.clock(p).Add(leaseTTL-step))
 	var list []string
 	for _, o := range w.processes {
 		if w.now.Before(w.leases[o.name]) {
@@ -110,9 +110,9 @@
 		case w.now.Before(m.at) || !w.up(m.to):
 			later = append(later, m)
 		case m.list != nil:
-			m.to.door.Listed(w.clock(m.to), m.readAt, m.list)
+			m.to.door.ApplyList(w.clock(m.to), m.readAt, m.list)
 		default:
-			m.to.door.Heard(w.clock(m.to), m.from, m.stamp, m.echoes)
+			m.to.door.ReceiveState(w.clock(m.to), m.from, m.stamp, m.echoes)
 			for name := range m.peers {
 				m.to.known[name] = true
 			}
@@ -161,14 +161,14 @@
 		}
 		verdict, home := p.door.Home(w.clock(p), key, firstSent)
 		switch verdict {
-		case door.Mine:
+		case door.Local:
 			w.localVerdicts++
 			if by := w.started[key]; by != "" && by != p.name {
 				t.Fatalf("seed %d: key %s started by %s and by %s", seed, key, by, p.name)
 			}
 			w.started[key] = p.name
 			return
-		case door.Unsure:
+		case door.Unknown:
 			return
 		}
 		p = w.process(home)
--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -182,7 +182,7 @@
 	answeredJobs    []*jobState               // answered jobs, oldest first
 	answerBytes     int
 	retired         *retiredIDs
-	keyResolver     *door.Door
+	keyResolver     *door.Resolver
 	policy          *policy
 	otherEntries    map[string]bool      // incarnations of the other entries
 	peers           []*pb.Peer           // live entries, as last sent to the agents
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -89,7 +89,7 @@
 	for _, echo := range state.DoorEchoes {
 		echoes = append(echoes, door.Echo{Entry: echo.Entry, Stamp: time.Unix(0, echo.UnixNs)})
 	}
-	e.core.KeyResolver().Heard(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
+	e.core.KeyResolver().ReceiveState(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
 }
 
 // Announced records that the entry's announcement in the store is valid until the
@@ -98,7 +98,7 @@
 func (e *Entry) Announced(until time.Time) (list bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.core.KeyResolver().Announced(time.Now(), until)
+	return e.core.KeyResolver().AnnouncementRenewed(time.Now(), until)
 }
 
 // Listed applies the complete list of entries in the store, read in a call that
@@ -106,7 +106,7 @@
 func (e *Entry) Listed(readAt time.Time, incarnations []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.KeyResolver().Listed(time.Now(), readAt, incarnations)
+	e.core.KeyResolver().ApplyList(time.Now(), readAt, incarnations)
 }
 
 // SetPeers sets the live entries, including this one, and notifies the agents of a
--- a/node/entry/route.go
+++ b/node/entry/route.go
@@ -59,9 +59,9 @@
 	rq.job.Contract = rq.contract
 	e.step(func(now time.Time) { verdict, home = e.core.KeyHome(now, rq.job) })
 	switch verdict {
-	case door.Mine:
+	case door.Local:
 		return e.serveLocal(ctx, rq)
-	case door.Other:
+	case door.Remote:
 		if p := e.findPeer(home); p != nil {
 			if rp, result := e.forward(ctx, p, rq); result == homeReplied {
 				return rp
