--- a/dispatch/bounds/bounds.go
+++ b/dispatch/bounds/bounds.go
@@ -29,39 +29,39 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrTooTight is returned when no values satisfy the bounds.
-var ErrTooTight = errorx.NewNamespace("bounds").NewType("too_tight")
+// ErrUnsatisfiable is returned when no values satisfy the bounds.
+var ErrUnsatisfiable = errorx.NewNamespace("bounds").NewType("too_tight")
 
-// Given holds the deployment's parameters. Zero fields take defaults.
-type Given struct {
-	// Resend is the shortest time after which a caller without an answer sends its
+// Params holds the deployment's parameters. Zero fields take defaults.
+type Params struct {
+	// ResendAfter is the shortest time after which a caller without an answer sends its
 	// job again.
-	Resend time.Duration
+	ResendAfter time.Duration
 	// MaxLease is the longest lease that workers grant.
 	MaxLease time.Duration
-	// Stop is the longest time that a worker takes to stop a run.
-	Stop time.Duration
+	// StopTime is the longest time that a worker takes to stop a run.
+	StopTime time.Duration
 }
 
-// Times holds the derived timeouts.
-type Times struct {
-	// Silence is how long after the last frame from an entry its agent stops the
+// Timeouts holds the derived timeouts.
+type Timeouts struct {
+	// EntryTimeout is how long after the last frame from an entry its agent stops the
 	// entry's runs.
-	Silence time.Duration
+	EntryTimeout time.Duration
 	// Lease is the duration of the leases that agents request from workers.
 	Lease time.Duration
-	// Stop is the longest time that a worker takes to stop a run.
-	Stop time.Duration
-	// GiveUp is how long an entry waits for a lost link to an agent to come back
+	// StopTime is the longest time that a worker takes to stop a run.
+	StopTime time.Duration
+	// ReconnectTimeout is how long an entry waits for a lost link to an agent to come back
 	// before it abandons the jobs on it.
-	GiveUp time.Duration
-	// MaxLate is the delay up to which an order that arrives is still started. It
+	ReconnectTimeout time.Duration
+	// MaxOrderDelay is the delay up to which an order that arrives is still started. It
 	// must be below Silence, so that a stale order does not start after its entry
 	// has timed out.
-	MaxLate time.Duration
-	// RunsOver is how long after an entry's last frame to an unreachable agent all
+	MaxOrderDelay time.Duration
+	// RunsEndedAfter is how long after an entry's last frame to an unreachable agent all
 	// runs that the entry ordered there have ended.
-	RunsOver time.Duration
+	RunsEndedAfter time.Duration
 }
 
 const (
@@ -89,26 +89,26 @@
 )
 
 // Derive returns times that satisfy the bounds, or ErrTooTight.
-func Derive(g Given) (Times, error) {
-	resend := cmp.Or(g.Resend, defaultResend)
-	t := Times{
-		Silence: scale(resend, entryTimeoutFraction),
+func Derive(g Params) (Timeouts, error) {
+	resend := cmp.Or(g.ResendAfter, defaultResend)
+	t := Timeouts{
+		EntryTimeout: scale(resend, entryTimeoutFraction),
 		Lease:   min(cmp.Or(g.MaxLease, defaultLease), scale(resend, leaseFraction)),
-		Stop:    cmp.Or(g.Stop, defaultStop),
-		GiveUp:  scale(resend, reconnectFraction),
+		StopTime:    cmp.Or(g.StopTime, defaultStop),
+		ReconnectTimeout:  scale(resend, reconnectFraction),
 	}
-	t.MaxLate = scale(t.Silence, orderDelayFraction)
-	leaseExpiry := Lapse(t.Lease)
-	t.RunsOver = t.Silence + t.Stop + leaseExpiry + Slack
-	if t.RunsOver > t.GiveUp+resend || max(t.Silence+t.Stop, leaseExpiry)+Slack > resend {
-		return t, ErrTooTight.New("a resend after %v leaves too little time to end runs with a stop time of %v and a lease of %v", resend, t.Stop, t.Lease)
+	t.MaxOrderDelay = scale(t.EntryTimeout, orderDelayFraction)
+	leaseExpiry := LeaseExpiry(t.Lease)
+	t.RunsEndedAfter = t.EntryTimeout + t.StopTime + leaseExpiry + Slack
+	if t.RunsEndedAfter > t.ReconnectTimeout+resend || max(t.EntryTimeout+t.StopTime, leaseExpiry)+Slack > resend {
+		return t, ErrUnsatisfiable.New("a resend after %v leaves too little time to end runs with a stop time of %v and a lease of %v", resend, t.StopTime, t.Lease)
 	}
 	return t, nil
 }
 
-// Lapse returns the time, by this process's clock, after which a lease kept by a
+// LeaseExpiry returns the time, by this process's clock, after which a lease kept by a
 // worker's clock has certainly ended.
-func Lapse(lease time.Duration) time.Duration {
+func LeaseExpiry(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 + ClockError))
 }
 
--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -145,10 +145,10 @@
 	if a.session.IsUp() {
 		return
 	}
-	if !a.abandoned && !now.Before(a.downAt.Add(d.opts.Timeouts.GiveUp)) {
+	if !a.abandoned && !now.Before(a.downAt.Add(d.opts.Timeouts.ReconnectTimeout)) {
 		d.abandonJobsOn(now, a)
 	}
-	if len(a.live) > 0 && !now.Before(a.lastSent.Add(d.opts.Timeouts.RunsOver)) {
+	if len(a.live) > 0 && !now.Before(a.lastSent.Add(d.opts.Timeouts.RunsEndedAfter)) {
 		// No run ordered there can still be alive; see package bounds.
 		d.loseOrders(now, a, "the agent can't be reached")
 	}
@@ -160,7 +160,7 @@
 // abandonJobsOn answers the jobs whose runs on a lost agent can't be replaced in time.
 func (d *Dispatcher) abandonJobsOn(now time.Time, a *agent) {
 	a.abandoned = true
-	free := a.lastSent.Add(d.opts.Timeouts.RunsOver)
+	free := a.lastSent.Add(d.opts.Timeouts.RunsEndedAfter)
 	for _, o := range slices.Clone(a.live) {
 		j := o.task.job
 		if !j.ended && free.Add(o.expected).After(j.deadline) {
--- a/dispatch/dispatcher/dispatcher.go
+++ b/dispatch/dispatcher/dispatcher.go
@@ -21,7 +21,7 @@
 type Options struct {
 	Entry, Incarnation, FailureDomain string
 
-	Timeouts bounds.Times
+	Timeouts bounds.Timeouts
 	// Link holds the timing options of links to agents.
 	Link link.Options
 	// DomainRoundTrip is the extra round-trip time to an agent in another failure
--- a/dispatch/dispatcher/dispatcher_test.go
+++ b/dispatch/dispatcher/dispatcher_test.go
@@ -19,7 +19,7 @@
 	t        *testing.T
 	d        *Dispatcher
 	now      time.Time
-	times    bounds.Times
+	times    bounds.Timeouts
 	agents   map[string]*fakeAgent // by incarnation
 	answers  map[uint64]Answer
 	jobs     int
@@ -44,7 +44,7 @@
 }
 
 func newFixture(t *testing.T, agents ...string) *fixture {
-	times, err := bounds.Derive(bounds.Given{})
+	times, err := bounds.Derive(bounds.Params{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -366,9 +366,9 @@
 	}
 	b.attach("b", "b-1")
 	b.d.LinkDown(b.now, "a-1", a.epoch)
-	b.advance(b.times.GiveUp + 10*time.Millisecond)
+	b.advance(b.times.ReconnectTimeout + 10*time.Millisecond)
 	b.wantAnswer(shortLimit, Unknown, ReasonAgentLost)
-	b.advance(b.times.RunsOver - b.times.GiveUp - 30*time.Millisecond)
+	b.advance(b.times.RunsEndedAfter - b.times.ReconnectTimeout - 30*time.Millisecond)
 	if got := len(b.agents["b-1"].orders); got != 0 {
 		t.Fatalf("%d orders elsewhere before the runs must have ended", got)
 	}
@@ -581,7 +581,7 @@
 	n := b.mustSubmit(j)
 	b.attach("b", "b-1")
 	b.d.LinkDown(b.now, "a-1", b.agents["a-1"].epoch)
-	b.advance(b.times.RunsOver + 50*time.Millisecond)
+	b.advance(b.times.RunsEndedAfter + 50*time.Millisecond)
 	second := b.agents["b-1"].orders[0]
 	b.agents["b-1"].used = 4000
 	b.reportOrder(second, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaitTimeout, 0)
--- a/dispatch/dispatcher/frames.go
+++ b/dispatch/dispatcher/frames.go
@@ -95,16 +95,16 @@
 		return next
 	}
 	if !a.abandoned {
-		return a.downAt.Add(d.opts.Timeouts.GiveUp)
+		return a.downAt.Add(d.opts.Timeouts.ReconnectTimeout)
 	}
 	if len(a.live) > 0 {
-		return a.lastSent.Add(d.opts.Timeouts.RunsOver)
+		return a.lastSent.Add(d.opts.Timeouts.RunsEndedAfter)
 	}
 	return a.downAt.Add(agentRetention)
 }
 
 func (d *Dispatcher) renewInterval() time.Duration {
-	return time.Duration(renewShare * float64(d.opts.Timeouts.Silence))
+	return time.Duration(renewShare * float64(d.opts.Timeouts.EntryTimeout))
 }
 
 // flush builds the frame for an agent, if one is due.
--- a/dispatch/dispatcher/lag.go
+++ b/dispatch/dispatcher/lag.go
@@ -48,7 +48,7 @@
 // stale and its links timed out.
 func (d *Dispatcher) recordStaleOrder(now time.Time, at *agent) {
 	if d.staleAgent != nil && d.staleAgent != at && now.Sub(d.staleAt) < staleCorrelationWindow {
-		d.timerLag.observe(now, d.opts.Timeouts.MaxLate)
+		d.timerLag.observe(now, d.opts.Timeouts.MaxOrderDelay)
 	}
 	d.staleAgent, d.staleAt = at, now
 }
--- a/dispatch/dispatcher/move.go
+++ b/dispatch/dispatcher/move.go
@@ -88,7 +88,7 @@
 	case o.agent.healthState != place.Open || o.agent.slowness > suspectSlowness:
 		factor, evidence = suspectFactor, "slow worker"
 	}
-	rerunTime := moveCost + d.opts.Timeouts.Stop + reference
+	rerunTime := moveCost + d.opts.Timeouts.StopTime + reference
 	remaining := o.progress.remaining - now.Sub(o.progress.reportedAt)
 	if float64(total) < factor*float64(reference) || remaining < rerunTime || now.Add(rerunTime).After(j.deadline) {
 		return
--- a/dispatch/leasedcheck/world.go
+++ b/dispatch/leasedcheck/world.go
@@ -54,7 +54,7 @@
 	events   eventHeap
 	sequence uint64
 
-	times     bounds.Times
+	times     bounds.Timeouts
 	link      link.Options
 	entries   []*entryNode
 	agents    []*agentNode
@@ -76,7 +76,7 @@
 // newWorld returns a World in which all processes are started.
 func newWorld(o Options) *World {
 	w := &World{o: o, rand: rand.New(rand.NewPCG(o.Seed, 1)), now: time.Unix(1_000_000, 0)}
-	w.times, _ = bounds.Derive(bounds.Given{Resend: resendDelay, MaxLease: time.Second, Stop: 50 * time.Millisecond})
+	w.times, _ = bounds.Derive(bounds.Params{ResendAfter: resendDelay, MaxLease: time.Second, StopTime: 50 * time.Millisecond})
 	w.link = link.Options{AckDelay: 70 * time.Millisecond, AckTimeout: 430 * time.Millisecond, Heartbeat: time.Second, HeartbeatTimeout: 2500 * time.Millisecond}
 	w.operators = operators{w: w, revision: 1, evacuated: map[string]time.Time{}}
 	w.checker = checker{w: w, running: map[string]map[*simWorker]uint32{}, started: map[string]bool{}, succeeded: map[string]bool{}, refused: map[string]bool{}, starts: map[string]int{}}
--- a/dispatch/runner/delay_test.go
+++ b/dispatch/runner/delay_test.go
@@ -14,7 +14,7 @@
 func TestSlowlyOpenedLinkMakesNoOrderStale(t *testing.T) {
 	h := newHarness(t)
 	requested := h.now
-	h.now = h.now.Add(h.times.MaxLate - 3*time.Millisecond)
+	h.now = h.now.Add(h.times.MaxOrderDelay - 3*time.Millisecond)
 	h.r.LinkUp(h.now, requested, &pb.EntryGreeting{Entry: "e1", Incarnation: "e1"}, 1, h.now.UnixNano())
 	h.ready()
 	h.now = h.now.Add(2 * time.Millisecond)
@@ -34,7 +34,7 @@
 // amount. Their entry has had its tasks run elsewhere by now.
 func TestUniformlyDelayedFramesAreStale(t *testing.T) {
 	h := newHarness(t, "e1")
-	behind := h.now.Add(-h.times.MaxLate - time.Second)
+	behind := h.now.Add(-h.times.MaxOrderDelay - time.Second)
 	for range 3 {
 		h.seq["e1"]++
 		h.r.Step(h.now, "e1", 1, &pb.OrderFrame{Seq: h.seq["e1"], SentNs: behind.UnixNano()})
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -110,7 +110,7 @@
 // false if the link can't be used: the answer took so long, because the process was frozen or
 // the connection cut, that the delay of the frames behind it can't be bounded.
 func (r *Runner) LinkUp(now, requested time.Time, g *pb.EntryGreeting, epoch uint64, sentNs int64) bool {
-	if now.Sub(requested) > r.opts.Timeouts.MaxLate {
+	if now.Sub(requested) > r.opts.Timeouts.MaxOrderDelay {
 		return false
 	}
 	e := r.entry(g.Incarnation)
@@ -247,7 +247,7 @@
 
 func (r *Runner) refusalReason(now time.Time, x *run, delay time.Duration) string {
 	switch {
-	case delay > r.opts.Timeouts.MaxLate:
+	case delay > r.opts.Timeouts.MaxOrderDelay:
 		// A network cut or a freeze delayed the order. Its entry has abandoned it by now, and
 		// the caller may have sent the job to another entry.
 		return ReasonStaleOrder
@@ -287,7 +287,7 @@
 // timedOut reports whether nothing has been received from an entry for longer than its runs may
 // go on.
 func (r *Runner) timedOut(now time.Time, e *entry) bool {
-	return !now.Before(e.lastReceived.Add(r.opts.Timeouts.Silence))
+	return !now.Before(e.lastReceived.Add(r.opts.Timeouts.EntryTimeout))
 }
 
 func (r *Runner) hasWantedRuns(e *entry) bool {
@@ -303,7 +303,7 @@
 	for _, e := range r.entries {
 		next = link.Earlier(next, e.session.Next())
 		if r.hasWantedRuns(e) {
-			next = link.Earlier(next, e.lastReceived.Add(r.opts.Timeouts.Silence))
+			next = link.Earlier(next, e.lastReceived.Add(r.opts.Timeouts.EntryTimeout))
 		}
 		if e.session.IsUp() {
 			next = link.Earlier(next, e.flushBy)
--- a/dispatch/runner/queue.go
+++ b/dispatch/runner/queue.go
@@ -69,7 +69,7 @@
 		}
 		remaining := max(total-now.Sub(x.startedAt), overdueAllowance)
 		if x.phase == stopping || x.phase == fencing {
-			remaining = r.opts.Timeouts.Stop
+			remaining = r.opts.Timeouts.StopTime
 		}
 		f.Add(remaining, x.size.CPUMillis)
 	}
--- a/dispatch/runner/runner.go
+++ b/dispatch/runner/runner.go
@@ -17,7 +17,7 @@
 type Options struct {
 	Agent, Incarnation, FailureDomain string
 
-	Timeouts bounds.Times
+	Timeouts bounds.Timeouts
 	// Link holds the timeouts of links to entries.
 	Link link.Options
 	// Token is the first fencing token. A later process beside the same worker must use a
@@ -142,7 +142,7 @@
 	for _, x := range slices.Clone(r.runList) {
 		r.tickRun(now, x)
 	}
-	if r.unresponsive && r.Running() > 0 && now.After(r.leaseRenewedAt.Add(bounds.Lapse(r.opts.Timeouts.Lease)+bounds.Slack)) {
+	if r.unresponsive && r.Running() > 0 && now.After(r.leaseRenewedAt.Add(bounds.LeaseExpiry(r.opts.Timeouts.Lease)+bounds.Slack)) {
 		// The worker has been out of reach for longer than its lease lasts, so it has ended all
 		// runs by itself.
 		r.loseRuns(now, unanswered, func(*run) string { return "the lease has lapsed" })
@@ -169,7 +169,7 @@
 		}
 	}
 	if r.unresponsive && r.Running() > 0 {
-		next = link.Earlier(next, r.leaseRenewedAt.Add(bounds.Lapse(r.opts.Timeouts.Lease)+bounds.Slack+time.Millisecond))
+		next = link.Earlier(next, r.leaseRenewedAt.Add(bounds.LeaseExpiry(r.opts.Timeouts.Lease)+bounds.Slack+time.Millisecond))
 	}
 	return next
 }
--- a/dispatch/runner/runner_test.go
+++ b/dispatch/runner/runner_test.go
@@ -16,7 +16,7 @@
 	t         *testing.T
 	r         *Runner
 	now       time.Time
-	times     bounds.Times
+	times     bounds.Timeouts
 	seq       map[string]uint64
 	orders    map[string]uint64
 	last      Ready
@@ -29,7 +29,7 @@
 }
 
 func newHarness(t *testing.T, entries ...string) *harness {
-	times, err := bounds.Derive(bounds.Given{})
+	times, err := bounds.Derive(bounds.Params{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -305,7 +305,7 @@
 	for name, change := range map[string]func(h *harness){
 		"stopped":         func(h *harness) { h.frame("e1", &pb.OrderFrame{Stops: []uint64{1}}) },
 		"draining":        func(h *harness) { h.r.HandleReport(h.now, worker(0, func(w *Worker) { w.Draining = true })) },
-		"entry timed out": func(h *harness) { h.now = h.now.Add(h.times.Silence) },
+		"entry timed out": func(h *harness) { h.now = h.now.Add(h.times.EntryTimeout) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, "e1")
@@ -390,8 +390,8 @@
 			h.frame("e2", &pb.OrderFrame{})
 		}
 	}
-	if at := stopped["t1"]; at == 0 || at > h.times.Silence+10*time.Millisecond {
-		t.Errorf("the unresponsive entry's run was stopped after %v, want %v", at, h.times.Silence)
+	if at := stopped["t1"]; at == 0 || at > h.times.EntryTimeout+10*time.Millisecond {
+		t.Errorf("the unresponsive entry's run was stopped after %v, want %v", at, h.times.EntryTimeout)
 	}
 	if at := stopped["t2"]; at != 0 {
 		t.Errorf("the run of the responsive entry was stopped after %v", at)
@@ -404,7 +404,7 @@
 	h := newHarness(t, "e1")
 	h.frame("e1", &pb.OrderFrame{})
 	sent := h.now
-	h.now = h.now.Add(h.times.MaxLate + time.Millisecond)
+	h.now = h.now.Add(h.times.MaxOrderDelay + time.Millisecond)
 	h.seq["e1"]++
 	h.r.Step(h.now, "e1", 1, &pb.OrderFrame{
 		Seq: h.seq["e1"], SentNs: sent.UnixNano(),
@@ -468,8 +468,8 @@
 		h.r.Tick(h.now)
 		h.ready()
 	}
-	if took := h.now.Sub(began); took < bounds.Lapse(h.times.Lease) || took > time.Second+h.times.Lease {
-		t.Errorf("lost after %v; the lease lapses after %v", took, bounds.Lapse(h.times.Lease))
+	if took := h.now.Sub(began); took < bounds.LeaseExpiry(h.times.Lease) || took > time.Second+h.times.Lease {
+		t.Errorf("lost after %v; the lease lapses after %v", took, bounds.LeaseExpiry(h.times.Lease))
 	}
 	h.wantNews("e1", 1, pb.OrderState_ORDER_STATE_LOST, "")
 	h.order("e1", "t2", 100)
@@ -581,7 +581,7 @@
 	h := newHarness(t, "e1")
 	h.begin("e1", "t0", 3500)
 	h.order("e1", "t1", 3500, waits(60_000))
-	h.now = h.now.Add(h.times.Silence + time.Second)
+	h.now = h.now.Add(h.times.EntryTimeout + time.Second)
 	h.end("t0", EndedLapsed)
 	if got := h.started(); len(got) != 0 {
 		t.Errorf("started %v after the entry had timed out", got)
@@ -619,8 +619,8 @@
 		h.r.Tick(h.now)
 		h.ready()
 	}
-	if took := h.now.Sub(began); took < bounds.Lapse(h.times.Lease) {
-		t.Errorf("lost after %v; the lease may last %v", took, bounds.Lapse(h.times.Lease))
+	if took := h.now.Sub(began); took < bounds.LeaseExpiry(h.times.Lease) {
+		t.Errorf("lost after %v; the lease may last %v", took, bounds.LeaseExpiry(h.times.Lease))
 	}
 }
 
--- a/node/dispatcher/exchange_test.go
+++ b/node/dispatcher/exchange_test.go
@@ -14,7 +14,7 @@
 
 func newTestDispatcher(t *testing.T, seeds ...string) *Dispatcher {
 	t.Helper()
-	times, err := bounds.Derive(bounds.Given{})
+	times, err := bounds.Derive(bounds.Params{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -73,7 +73,7 @@
 		},
 	})
 	a.recorder = workerrecord.New(workerrecord.Options{Store: client, Agent: s.Name, Logger: a.logger})
-	a.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.Silence.Milliseconds(),
+	a.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.EntryTimeout.Milliseconds(),
 		"lease_ms", times.Lease.Milliseconds())
 	return a, nil
 }
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -65,10 +65,10 @@
 // leasedLinkOptions returns the time-outs of links between entries and agents. An
 // agent stops the runs of a lost link once t.Silence has passed, so a broken link must
 // be detected well before that.
-func leasedLinkOptions(t bounds.Times) link.Options {
+func leasedLinkOptions(t bounds.Timeouts) link.Options {
 	return link.Options{
-		AckDelay:         t.Silence / 8,
-		AckTimeout:       t.Silence * 3 / 4,
+		AckDelay:         t.EntryTimeout / 8,
+		AckTimeout:       t.EntryTimeout * 3 / 4,
 		Heartbeat:        time.Second,
 		HeartbeatTimeout: 2500 * time.Millisecond,
 	}
@@ -131,13 +131,13 @@
 		ListEvery: func() time.Duration { return listInterval(len(e.dispatcher.Entries())) },
 		Alone:     func() bool { return len(e.dispatcher.Entries()) < 2 },
 	})
-	e.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.Silence.Milliseconds(),
-		"lease_ms", times.Lease.Milliseconds(), "give_up_ms", times.GiveUp.Milliseconds())
+	e.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.EntryTimeout.Milliseconds(),
+		"lease_ms", times.Lease.Milliseconds(), "give_up_ms", times.ReconnectTimeout.Milliseconds())
 	return e, nil
 }
 
-func deriveTimes(b settings.Bounds) (bounds.Times, error) {
-	times, err := bounds.Derive(bounds.Given{Resend: b.Resend, MaxLease: b.MaxLease, Stop: b.Stop})
+func deriveTimes(b settings.Bounds) (bounds.Timeouts, error) {
+	times, err := bounds.Derive(bounds.Params{ResendAfter: b.Resend, MaxLease: b.MaxLease, StopTime: b.Stop})
 	if err != nil {
 		return times, ErrStart.Wrap(err, "invalid settings")
 	}
