--- a/dispatch/agent/tasks.go
+++ b/dispatch/agent/tasks.go
@@ -76,15 +76,15 @@
 	id, err := job.Parse(bare)
 	switch {
 	case err != nil || (id.HasHome() && id.Home.Incarnation != p.hello.Incarnation):
-		return job.RefusedForeign
+		return job.RefusedForeignHome
 	case a.fenced(b.Job):
 		return job.RefusedFenced
 	case a.leaving:
 		return job.RefusedLeaving
 	case units > int(a.opts.Hello.Slots):
-		return job.RefusedMemory
+		return job.RefusedNoMemory
 	case a.full():
-		return job.RefusedFull
+		return job.RefusedTableFull
 	}
 	return ""
 }
