--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -26,7 +26,7 @@
 	// include; it is negative when these exceed it.
 	free        size.Size
 	releases    forecast.Releases
-	healthState place.Standing
+	healthState place.HealthState
 	slowness    float64 // relative to other workers, as last judged
 
 	live      []*order // not ended, oldest first
@@ -233,7 +233,7 @@
 	}
 }
 
-func healthStateName(s place.Standing) string {
+func healthStateName(s place.HealthState) string {
 	switch s {
 	case place.Trial:
 		return "trial"
--- a/dispatch/dispatcher/invite.go
+++ b/dispatch/dispatcher/invite.go
@@ -110,7 +110,7 @@
 		if invited >= w.MaxAgents {
 			break
 		}
-		if !d.takesOrders(a, w.Service) || a.healthState != place.Open {
+		if !d.takesOrders(a, w.Service) || a.healthState != place.Healthy {
 			continue
 		}
 		if !a.hasLabel(w.Label) || !w.Size.FitsIn(a.free) || len(a.state.GetQueued()) > 0 {
--- a/dispatch/dispatcher/move.go
+++ b/dispatch/dispatcher/move.go
@@ -43,7 +43,7 @@
 		// Overlong runs never end here; without them the queue's run times would
 		// seem shorter than they are.
 		j := o.task.job
-		if o.agent.healthState == place.Open {
+		if o.agent.healthState == place.Healthy {
 			d.learn(j.queue.Name, j.steps[o.task.step].Estimated, o.progress.ran+o.progress.remaining)
 		}
 		d.abandon(now, j, ReasonInfeasible)
@@ -85,7 +85,7 @@
 	switch {
 	case s.shortestRun > 0:
 		reference, factor, evidence = s.shortestRun, siblingFactor, "task of the same step"
-	case o.agent.healthState != place.Open || o.agent.slowness > suspectSlowness:
+	case o.agent.healthState != place.Healthy || o.agent.slowness > suspectSlowness:
 		factor, evidence = suspectFactor, "slow worker"
 	}
 	rerunTime := moveCost + d.opts.Timeouts.StopTime + reference
--- a/dispatch/dispatcher/orders.go
+++ b/dispatch/dispatcher/orders.go
@@ -186,7 +186,7 @@
 func (d *Dispatcher) learnFrom(now time.Time, o *order, ran time.Duration) {
 	j := o.task.job
 	d.reportHealth(now, o.agent, j, health.Result{Run: relativeRun(ran, o.expected)})
-	if o.agent.healthState == place.Open {
+	if o.agent.healthState == place.Healthy {
 		d.learn(j.queue.Name, j.steps[o.task.step].Estimated, ran)
 	}
 }
--- a/dispatch/dispatcher/place.go
+++ b/dispatch/dispatcher/place.go
@@ -259,7 +259,7 @@
 
 // mayRun reports whether a worker may be given a task at all.
 func (d *Dispatcher) mayRun(now time.Time, a *agent, t *task, s *step) bool {
-	if a.healthState != place.Open {
+	if a.healthState != place.Healthy {
 		d.updateHealthState(now, a) // its time may be over
 	}
 	switch {
--- a/dispatch/entry/agents.go
+++ b/dispatch/entry/agents.go
@@ -33,7 +33,7 @@
 	pendingStarts []*taskState  // starts to send in the next frame
 	dirty         bool
 
-	healthState place.Standing // as last recorded, for operators
+	healthState place.HealthState // as last recorded, for operators
 }
 
 const (
@@ -268,7 +268,7 @@
 	e.linkLost(now, a)
 	tasks := a.tasks
 	a.tasks = nil
-	e.policy.sched.Drop(a.hello.Agent)
+	e.policy.sched.RemoveAgent(a.hello.Agent)
 	for _, t := range tasks {
 		e.release(a, t)
 		if t.phase == ended {
--- a/dispatch/entry/events.go
+++ b/dispatch/entry/events.go
@@ -22,12 +22,12 @@
 }
 
 // recordHealthState records a change of an agent's health state.
-func (e *Entry) recordHealthState(now time.Time, a *agent, to place.Standing) {
+func (e *Entry) recordHealthState(now time.Time, a *agent, to place.HealthState) {
 	if a.healthState == to {
 		return
 	}
-	kind := map[place.Standing]event.Kind{
-		place.Suspended: event.WorkerSuspended, place.Trial: event.WorkerTrial, place.Open: event.WorkerResumed,
+	kind := map[place.HealthState]event.Kind{
+		place.Suspended: event.WorkerSuspended, place.Trial: event.WorkerTrial, place.Healthy: event.WorkerResumed,
 	}[to]
 	a.healthState = to
 	e.recordPeer(now, kind, a, healthStateTexts[to], 0)
--- a/dispatch/entry/job.go
+++ b/dispatch/entry/job.go
@@ -190,7 +190,7 @@
 	}
 	for _, w := range queued.Tasks {
 		starts[w.Number].MemoryBytes = w.Memory
-		js.tasks[w.Number].run = w.Run
+		js.tasks[w.Number].run = w.RunTime
 	}
 	e.policy.sched.Push(queued)
 	e.jobs[name] = js
@@ -383,7 +383,7 @@
 	t.agent, t.seq, t.revoked = nil, 0, false
 	if js.answer == nil && js.pending == nil {
 		t.phase = waiting
-		e.policy.sched.PutBack(js.queued, place.Task{Number: t.index, Run: t.run, Memory: t.start.MemoryBytes})
+		e.policy.sched.Requeue(js.queued, place.Task{Number: t.index, RunTime: t.run, Memory: t.start.MemoryBytes})
 		return
 	}
 	t.phase = ended
--- a/dispatch/entry/place.go
+++ b/dispatch/entry/place.go
@@ -39,7 +39,7 @@
 		if !a.session.IsUp() || a.leaving {
 			continue
 		}
-		n := uint32(e.policy.sched.Want(e.policy.sched.Pool.Agent(a.hello.Agent)))
+		n := uint32(e.policy.sched.WantedCredits(e.policy.sched.Pool.Agent(a.hello.Agent)))
 		if n > 0 && a.sentDemand == 0 {
 			a.dirty = true
 		}
--- a/dispatch/entry/policy.go
+++ b/dispatch/entry/policy.go
@@ -113,14 +113,14 @@
 			// An uncertain estimate must not make a job unplaceable.
 			s.Memory = min(s.Memory, largest, c.MemoryBytes)
 		}
-		w.Tasks[i] = place.Task{Number: uint32(i), Run: s.Run, Memory: s.Memory}
-		w.MinRun = s.MedianRun
+		w.Tasks[i] = place.Task{Number: uint32(i), RunTime: s.Run, Memory: s.Memory}
+		w.MinRunTime = s.MedianRun
 		r.MemoryBytes = max(r.MemoryBytes, s.Memory)
 		r.Work += s.Run
 		r.MinRun, r.LikelyRun = s.MinRun, s.MedianRun
 	}
 	place.LongestFirst(w.Tasks)
-	w.Due = place.Due(now, w.Deadline, w.Tasks, e.policy.sched.Pool.Slots())
+	w.DueTime = place.DueTime(now, w.Deadline, w.Tasks, e.policy.sched.Pool.Slots())
 	return w, r
 }
 
@@ -134,7 +134,7 @@
 	p := e.policy
 	r.Waiting = p.sched.WaitingOf(j.Contract)
 	r.Entries = len(e.otherEntries) + 1
-	r.QueueWait = p.sched.Queue().Wait(j.Contract, r.Work, p.sched.Pool.Reach())
+	r.QueueWait = p.sched.Queue().EstimateWait(j.Contract, r.Work, p.sched.Pool.UsableSlots())
 	if refused := p.limits.Admit(r, now); refused != nil {
 		return refuse(j.Id, refused.Code, refused.Message, refused.RetryAfter)
 	}
@@ -207,9 +207,9 @@
 		state = place.Suspended
 	}
 	return e.policy.sched.Pool.Update(place.Agent{
-		ID: name, Domain: a.hello.FailureDomain, Rack: a.hello.Rack, Distance: e.distance(a),
+		ID: name, Domain: a.hello.FailureDomain, Rack: a.hello.Rack, RTT: e.distance(a),
 		Slots: int(a.hello.Slots), Memory: a.hello.MemoryBytes,
-		Slowness: e.policy.health.Slowness(name), Standing: state,
+		Slowness: e.policy.health.Slowness(name), Health: state,
 	})
 }
 
@@ -236,13 +236,13 @@
 	if p.shares.Tick(now) {
 		e.applyShares(now)
 	}
-	p.sched.Retry()
+	p.sched.RetryUnplaced()
 	for _, a := range e.agents {
 		if a.session.IsUp() {
 			e.updateAgent(now, a)
 		}
 	}
-	for j := p.sched.Queue().Expired(now); j != nil; j = p.sched.Queue().Expired(now) {
+	for j := p.sched.Queue().Infeasible(now); j != nil; j = p.sched.Queue().Infeasible(now) {
 		e.endEarly(now, e.jobs[j.ID], jobs.CodeDeadline, "the deadline can't be met any more")
 	}
 }
--- a/dispatch/entry/status.go
+++ b/dispatch/entry/status.go
@@ -54,7 +54,7 @@
 }
 
 // healthStateTexts tell operators why an agent gets less work or none.
-var healthStateTexts = map[place.Standing]string{
+var healthStateTexts = map[place.HealthState]string{
 	place.Trial:     "on trial",
 	place.Suspended: "tasks fail there",
 }
--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -87,7 +87,7 @@
 	uncomparedFailures float64
 	// logSlowness is the mean logarithm of the ratio of the run time to that of other agents.
 	logSlowness    float64
-	state          place.Standing
+	state          place.HealthState
 	suspendedUntil time.Time
 	backoff        time.Duration
 }
@@ -123,7 +123,7 @@
 	if a == nil {
 		return
 	}
-	j.setState(a, place.Open)
+	j.setState(a, place.Healthy)
 	delete(j.agents, name)
 	for _, table := range j.kinds {
 		table.peers = slices.DeleteFunc(table.peers, func(p peer) bool { return p.agent == name })
@@ -132,10 +132,10 @@
 
 // State returns the health state of an agent, which limits the work it may get at a time. A
 // suspension that has expired becomes a trial.
-func (j *Tracker) State(name string, now time.Time) place.Standing {
+func (j *Tracker) State(name string, now time.Time) place.HealthState {
 	a := j.agents[name]
 	if a == nil {
-		return place.Open
+		return place.Healthy
 	}
 	if a.state == place.Suspended && !now.Before(a.suspendedUntil) {
 		j.setState(a, place.Trial)
@@ -199,13 +199,13 @@
 		j.suspend(a, now)
 	case a.state == place.Trial && !r.Failed:
 		j.endTrial(a)
-	case a.state == place.Open && (a.excessFailures >= suspendFailureRate || a.logSlowness >= math.Log(suspendSlowness)):
+	case a.state == place.Healthy && (a.excessFailures >= suspendFailureRate || a.logSlowness >= math.Log(suspendSlowness)):
 		j.suspend(a, now)
 	}
 }
 
 func (j *Tracker) suspend(a *agent, now time.Time) {
-	if a.state == place.Open && float64(j.suspended+1) > j.options.MaxSuspended*float64(len(j.agents)) {
+	if a.state == place.Healthy && float64(j.suspended+1) > j.options.MaxSuspended*float64(len(j.agents)) {
 		return
 	}
 	j.setState(a, place.Suspended)
@@ -215,7 +215,7 @@
 // endTrial ends a successful trial. The averages that led to the suspension are halved, so that
 // the agent is suspended again sooner if the success was luck.
 func (j *Tracker) endTrial(a *agent) {
-	j.setState(a, place.Open)
+	j.setState(a, place.Healthy)
 	a.backoff = j.options.FirstBackoff
 	a.excessFailures /= 2
 	a.logSlowness /= 2
@@ -223,11 +223,11 @@
 
 // setState sets the health state of an agent. Agents on trial are counted as suspended, since
 // they take no significant share of the load.
-func (j *Tracker) setState(a *agent, to place.Standing) {
-	if a.state == place.Open && to != place.Open {
+func (j *Tracker) setState(a *agent, to place.HealthState) {
+	if a.state == place.Healthy && to != place.Healthy {
 		j.suspended++
 	}
-	if a.state != place.Open && to == place.Open {
+	if a.state != place.Healthy && to == place.Healthy {
 		j.suspended--
 	}
 	a.state = to
--- a/dispatch/health/health_test.go
+++ b/dispatch/health/health_test.go
@@ -96,8 +96,8 @@
 func TestSlowAgent(t *testing.T) {
 	for _, c := range []struct {
 		factor time.Duration
-		state  place.Standing
-	}{{2, place.Open}, {3, place.Open}, {10, place.Suspended}} {
+		state  place.HealthState
+	}{{2, place.Healthy}, {3, place.Healthy}, {10, place.Suspended}} {
 		j := fleet(11, 15, func(agent, _ int) Result {
 			if agent == 0 {
 				return done(c.factor * 100 * time.Millisecond)
@@ -107,7 +107,7 @@
 		if got := j.State("0", epoch); got != c.state {
 			t.Errorf("%d times slower: health state %v", c.factor, got)
 		}
-		if got := j.Slowness("0"); got < 0.8*float64(c.factor) && c.state == place.Open {
+		if got := j.Slowness("0"); got < 0.8*float64(c.factor) && c.state == place.Healthy {
 			t.Errorf("%d times slower: slowness %v", c.factor, got)
 		}
 		if got := j.Slowness("1"); got < 0.8 || got > 1.2 {
@@ -143,7 +143,7 @@
 	if got := j.State("0", now); got != place.Trial {
 		t.Errorf("after a broken job on trial: %v", got)
 	}
-	if !j.Report("0", done(time.Second), now) || j.State("0", now) != place.Open {
+	if !j.Report("0", done(time.Second), now) || j.State("0", now) != place.Healthy {
 		t.Errorf("after a good trial: %v", j.State("0", now))
 	}
 }
--- a/dispatch/place/bound.go
+++ b/dispatch/place/bound.go
@@ -17,7 +17,7 @@
 	agents := make([]*Agent, len(j.Tasks))
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		agents[i] = s.picker.Bind(s.Pool, Need{Memory: t.Memory, RunTime: t.Run, Tasks: len(j.Tasks)})
+		agents[i] = s.picker.Bind(s.Pool, Need{Memory: t.Memory, RunTime: t.RunTime, Tasks: len(j.Tasks)})
 		if agents[i] == nil {
 			return false
 		}
@@ -30,7 +30,7 @@
 			pos = len(added)
 			added = append(added, &Job{
 				ID: j.ID, Contract: j.Contract, Kind: j.Kind,
-				Due: j.Due, Deadline: j.Deadline, MinRun: j.MinRun, parent: j, agent: a,
+				DueTime: j.DueTime, Deadline: j.Deadline, MinRunTime: j.MinRunTime, parent: j, agent: a,
 			})
 		}
 		added[pos].Tasks = append(added[pos].Tasks, j.Tasks[i])
--- a/dispatch/place/picker.go
+++ b/dispatch/place/picker.go
@@ -76,7 +76,7 @@
 // the expected time to its end beyond its run time on an agent of average speed,
 // plus the costs of c.
 func (c *Credits) score(a *Agent, need Need) float64 {
-	score := float64(a.Distance) + float64(need.RunTime)*(a.Slowness-1)
+	score := float64(a.RTT) + float64(need.RunTime)*(a.Slowness-1)
 	score += float64(c.SpreadCost) * a.utilization()
 	batch := min(a.usable(), need.Tasks)
 	if a.shared {
@@ -121,7 +121,7 @@
 func (LeastLoaded) Bind(p *Pool, need Need) *Agent {
 	var best *Agent
 	for _, a := range p.all {
-		if a.units(need.Memory) > a.Slots || a.Standing == Suspended {
+		if a.units(need.Memory) > a.Slots || a.Health == Suspended {
 			continue
 		}
 		if best == nil || a.load() < best.load() {
@@ -141,7 +141,7 @@
 	var a *Agent
 	for range maxDraws {
 		a = p.all[r.IntN(len(p.all))]
-		if a.units(need.Memory) <= a.Slots && a.Standing != Suspended {
+		if a.units(need.Memory) <= a.Slots && a.Health != Suspended {
 			break
 		}
 	}
--- a/dispatch/place/place_test.go
+++ b/dispatch/place/place_test.go
@@ -25,9 +25,9 @@
 }
 
 func job(id, contract string, tasks int, run time.Duration) *Job {
-	j := &Job{ID: id, Contract: contract, Kind: "k", Due: epoch.Add(time.Minute), Deadline: epoch.Add(time.Minute)}
+	j := &Job{ID: id, Contract: contract, Kind: "k", DueTime: epoch.Add(time.Minute), Deadline: epoch.Add(time.Minute)}
 	for i := range tasks {
-		j.Tasks = append(j.Tasks, Task{Number: uint32(i), Run: run})
+		j.Tasks = append(j.Tasks, Task{Number: uint32(i), RunTime: run})
 	}
 	return j
 }
@@ -46,7 +46,7 @@
 }
 
 func TestQueueOrder(t *testing.T) {
-	dueLater := func(j *Job) *Job { j.Due = j.Due.Add(time.Hour); return j }
+	dueLater := func(j *Job) *Job { j.DueTime = j.DueTime.Add(time.Hour); return j }
 	ms := time.Millisecond
 	cases := []struct {
 		name string
@@ -120,14 +120,14 @@
 	q := NewQueue()
 	q.Push(job("quiet", "quiet", 10, 100*time.Millisecond))
 	q.Push(job("noisy", "noisy", 10, 100*time.Millisecond))
-	before := q.Wait("quiet", 0, 10)
+	before := q.EstimateWait("quiet", 0, 10)
 	for i := range 100 {
 		q.Push(job(fmt.Sprint(i), "noisy", 10, 100*time.Millisecond))
 	}
-	if after := q.Wait("quiet", 0, 10); after != before {
+	if after := q.EstimateWait("quiet", 0, 10); after != before {
 		t.Errorf("wait went from %v to %v", before, after)
 	}
-	if noisy := q.Wait("noisy", 0, 10); noisy < 10*time.Second {
+	if noisy := q.EstimateWait("noisy", 0, 10); noisy < 10*time.Second {
 		t.Errorf("wait of the noisy contract = %v", noisy)
 	}
 }
@@ -154,12 +154,12 @@
 func TestQueueInfeasible(t *testing.T) {
 	q := NewQueue()
 	j := job("1", "a", 1, time.Second)
-	j.MinRun = time.Second
+	j.MinRunTime = time.Second
 	q.Push(j)
-	if q.Expired(j.Deadline.Add(-1001*time.Millisecond)) != nil {
+	if q.Infeasible(j.Deadline.Add(-1001*time.Millisecond)) != nil {
 		t.Error("expired too early")
 	}
-	if q.Expired(j.Deadline.Add(-time.Second)) != j {
+	if q.Infeasible(j.Deadline.Add(-time.Second)) != j {
 		t.Error("a job that can't meet its deadline is kept")
 	}
 }
@@ -210,7 +210,7 @@
 	s := newScheduler(&Credits{}, noLimits{}, 1, 1)
 	large := job("large", "a", 1, time.Millisecond)
 	large.Tasks[0].Memory = 4 << 30
-	large.Due = epoch
+	large.DueTime = epoch
 	s.Push(large)
 	s.Push(job("small", "b", 50, time.Millisecond))
 	for range 40 {
@@ -253,8 +253,8 @@
 
 func TestSchedulerHealthState(t *testing.T) {
 	s := newScheduler(&Credits{}, noLimits{}, 8, 8)
-	s.Pool.Update(Agent{ID: "agent-0", Slots: 8, Standing: Suspended})
-	s.Pool.Update(Agent{ID: "agent-1", Slots: 8, Standing: Trial})
+	s.Pool.Update(Agent{ID: "agent-0", Slots: 8, Health: Suspended})
+	s.Pool.Update(Agent{ID: "agent-1", Slots: 8, Health: Trial})
 	s.Push(job("1", "a", 5, time.Millisecond))
 	p, ok := s.Next(epoch)
 	if !ok || p.Agent.ID != "agent-1" || len(p.Tasks) != 1 {
@@ -294,14 +294,14 @@
 			for i := range 3 {
 				s.Pool.Update(Agent{ID: fmt.Sprint(i), Slots: 8})
 			}
-			s.Retry()
+			s.RetryUnplaced()
 			removed := job("gone", "a", 5, time.Millisecond)
 			s.Push(removed)
 			s.Push(job("1", "a", 40, time.Millisecond))
 			if n := len(s.Remove(removed)); n != 5 {
 				t.Errorf("removed %d tasks", n)
 			}
-			s.Drop("0")
+			s.RemoveAgent("0")
 			placed := 0
 			for range 100 {
 				for _, a := range s.Pool.all {
@@ -339,7 +339,7 @@
 func benchmarkPlace(b *testing.B, agents, contracts int) {
 	s := NewScheduler(&Credits{MessageCost: time.Millisecond}, noLimits{})
 	for i := range agents {
-		a := s.Pool.Update(Agent{ID: fmt.Sprint(i), Slots: 8, Distance: time.Duration(i%3) * time.Millisecond})
+		a := s.Pool.Update(Agent{ID: fmt.Sprint(i), Slots: 8, RTT: time.Duration(i%3) * time.Millisecond})
 		s.Pool.Grant(a, 1)
 	}
 	for c := range contracts {
@@ -359,7 +359,7 @@
 		s.Pool.Grant(p.Agent, p.Units)
 		if len(p.Job.Tasks) == 0 {
 			b.StopTimer()
-			s.PutBack(p.Job, job("", "", 160, 100*time.Millisecond).Tasks...)
+			s.Requeue(p.Job, job("", "", 160, 100*time.Millisecond).Tasks...)
 			b.StartTimer()
 		}
 	}
--- a/dispatch/place/pool.go
+++ b/dispatch/place/pool.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Standing is the health state of an agent and bounds the work that it gets.
+// HealthState is the health state of an agent and bounds the work that it gets.
 // Package health decides it.
-type Standing uint8
+type HealthState uint8
 
 const (
-	// Open agents get work without restriction.
-	Open Standing = iota
+	// Healthy agents get work without restriction.
+	Healthy HealthState = iota
 	// Trial agents get one task at a time.
 	Trial
 	// Suspended agents get no tasks.
@@ -28,8 +28,8 @@
 	ID     string
 	Domain string
 	Rack   string
-	// Distance is the round-trip time of a message to the agent.
-	Distance time.Duration
+	// RTT is the round-trip time of a message to the agent.
+	RTT time.Duration
 	// Slots is the maximum number of credits that the agent can grant; Memory is
 	// the memory of its worker in bytes.
 	Slots  int
@@ -37,7 +37,7 @@
 	// Slowness is the run time of tasks on this agent relative to other agents; 1
 	// is average.
 	Slowness float64
-	Standing Standing
+	Health HealthState
 
 	// shared is set if all entries share the agent's slots. Then spare is the
 	// number of slots expected to be free, and waiting the units of this entry that
@@ -67,7 +67,7 @@
 // usable returns the number of units that may be placed now, given the health
 // state of the agent.
 func (a *Agent) usable() int {
-	switch a.Standing {
+	switch a.Health {
 	case Suspended:
 		return 0
 	case Trial:
@@ -178,8 +178,8 @@
 	}
 }
 
-// Reach returns the number of slots that this entry uses or could use now.
-func (p *Pool) Reach() int {
+// UsableSlots returns the number of slots that this entry uses or could use now.
+func (p *Pool) UsableSlots() int {
 	slots := p.outstanding
 	for _, a := range p.all {
 		slots += max(a.available(), 0)
@@ -201,8 +201,8 @@
 	}
 	p.slots += info.Slots - a.Slots
 	resized := p.largest == nil || a.Memory != info.Memory
-	a.Domain, a.Rack, a.Distance = info.Domain, info.Rack, info.Distance
-	a.Slots, a.Memory, a.Standing = info.Slots, info.Memory, info.Standing
+	a.Domain, a.Rack, a.RTT = info.Domain, info.Rack, info.RTT
+	a.Slots, a.Memory, a.Health = info.Slots, info.Memory, info.Health
 	a.slotMemory = math.MaxUint64
 	if a.Memory > 0 {
 		a.slotMemory = a.Memory / uint64(max(a.Slots, 1))
@@ -254,7 +254,7 @@
 // gives a slot that becomes free first to the tasks that wait there.
 func (p *Pool) Overbook() {
 	for _, a := range p.all {
-		if a.shared && a.Standing == Open && a.spare < 1 && a.waiting == 0 {
+		if a.shared && a.Health == Healthy && a.spare < 1 && a.waiting == 0 {
 			a.overbookUnits = 1
 			p.updateReady(a)
 		}
--- a/dispatch/place/queue.go
+++ b/dispatch/place/queue.go
@@ -37,8 +37,8 @@
 type Task struct {
 	// Number is the task's index in its job.
 	Number uint32
-	// Run is the expected run time.
-	Run time.Duration
+	// RunTime is the expected run time.
+	RunTime time.Duration
 	// Memory is the memory to reserve, in bytes.
 	Memory uint64
 
@@ -52,12 +52,12 @@
 	ID       string
 	Contract string
 	Kind     string
-	// Due orders the jobs of a contract, earliest first; see [Due].
-	Due time.Time
+	// DueTime orders the jobs of a contract, earliest first; see [DueTime].
+	DueTime time.Time
 	// Deadline is the time after which the answer is of no use; zero means none.
 	Deadline time.Time
-	// MinRun is the minimum run time of each task, zero if unknown.
-	MinRun time.Duration
+	// MinRunTime is the minimum run time of each task, zero if unknown.
+	MinRunTime time.Duration
 	// Tasks are placed in this order. The job ends soonest if the longest tasks
 	// come first; see [LongestFirst].
 	Tasks []Task
@@ -80,7 +80,7 @@
 // LongestFirst sorts tasks by decreasing expected run time, since the longest one
 // bounds the response time of the job.
 func LongestFirst(tasks []Task) {
-	slices.SortStableFunc(tasks, func(a, b Task) int { return int(b.Run - a.Run) })
+	slices.SortStableFunc(tasks, func(a, b Task) int { return int(b.RunTime - a.RunTime) })
 }
 
 // A job is due after stretchFactor times its ideal response time plus workFactor
@@ -90,16 +90,16 @@
 	workFactor    = 16
 )
 
-// Due returns the time by which a job that arrives now should be answered, and at
+// DueTime returns the time by which a job that arrives now should be answered, and at
 // the latest its deadline. Jobs with little work are due early, since they delay
 // other jobs only a little. Ordering by due time keeps short jobs from waiting
 // behind long ones, and prevents starvation: since the due time of a job is fixed,
 // each job comes first eventually.
-func Due(now, deadline time.Time, tasks []Task, slots int) time.Time {
+func DueTime(now, deadline time.Time, tasks []Task, slots int) time.Time {
 	var longest, sum time.Duration
 	for i := range tasks {
-		longest = max(longest, tasks[i].Run)
-		sum += tasks[i].Run
+		longest = max(longest, tasks[i].RunTime)
+		sum += tasks[i].RunTime
 	}
 	parallelRun := sum / time.Duration(max(slots, 1))
 	due := now.Add(time.Duration(stretchFactor*float64(max(longest, parallelRun)) + workFactor*float64(parallelRun)))
@@ -111,8 +111,8 @@
 
 // Before implements indexheap.Item. It orders jobs by due time, then by arrival.
 func (j *Job) Before(o *Job) bool {
-	if !j.Due.Equal(o.Due) {
-		return j.Due.Before(o.Due)
+	if !j.DueTime.Equal(o.DueTime) {
+		return j.DueTime.Before(o.DueTime)
 	}
 	return j.seq < o.seq
 }
@@ -129,7 +129,7 @@
 }
 
 func (t *Task) cost() time.Duration {
-	return max(t.Run, minCost) * time.Duration(max(t.weight, 1))
+	return max(t.RunTime, minCost) * time.Duration(max(t.weight, 1))
 }
 
 // shedJob orders jobs by decreasing due time: the job with the most time left is
@@ -446,11 +446,11 @@
 	return 0
 }
 
-// Wait estimates how long the last task of a new job of a contract would wait to be
+// EstimateWait estimates how long the last task of a new job of a contract would wait to be
 // started, given the job's work in slot time and the number of slots that serve
 // this queue. The backlog of other contracts of the class counts only up to their
 // weighted share.
-func (q *Queue) Wait(contract string, work time.Duration, slots int) time.Duration {
+func (q *Queue) EstimateWait(contract string, work time.Duration, slots int) time.Duration {
 	f := q.flows[contract]
 	if f == nil || slots <= 0 {
 		return 0
@@ -496,10 +496,10 @@
 	return f.name < o.name
 }
 
-// Expired returns a job that can no longer meet its deadline, since less than
+// Infeasible returns a job that can no longer meet its deadline, since less than
 // MinRun is left, or nil. It examines only the first job of each contract, which
-// would be started next. The caller removes the job and calls Expired again.
-func (q *Queue) Expired(now time.Time) *Job {
+// would be started next. The caller removes the job and calls Infeasible again.
+func (q *Queue) Infeasible(now time.Time) *Job {
 	var first *Job
 	for _, f := range q.flows {
 		if f.jobs.Len() == 0 {
@@ -514,5 +514,5 @@
 }
 
 func (j *Job) infeasible(now time.Time) bool {
-	return !j.Deadline.IsZero() && !now.Add(j.MinRun).Before(j.Deadline)
+	return !j.Deadline.IsZero() && !now.Add(j.MinRunTime).Before(j.Deadline)
 }
--- a/dispatch/place/scheduler.go
+++ b/dispatch/place/scheduler.go
@@ -112,9 +112,9 @@
 	s.queue.Push(j)
 }
 
-// PutBack returns tasks to the queue that an agent has proved never to have
+// Requeue returns tasks to the queue that an agent has proved never to have
 // started.
-func (s *Scheduler) PutBack(j *Job, tasks ...Task) {
+func (s *Scheduler) Requeue(j *Job, tasks ...Task) {
 	if j.queue == nil {
 		j.Tasks = append(j.Tasks, tasks...)
 		s.Push(j)
@@ -138,9 +138,9 @@
 	return tasks
 }
 
-// Drop removes an agent. Tasks that are bound to it but were never sent are bound
+// RemoveAgent removes an agent. Tasks that are bound to it but were never sent are bound
 // to other agents.
-func (s *Scheduler) Drop(id string) {
+func (s *Scheduler) RemoveAgent(id string) {
 	a := s.Pool.Agent(id)
 	if a == nil {
 		return
@@ -156,9 +156,9 @@
 	}
 }
 
-// Retry tries again to reserve agents for large tasks and to bind tasks that no
+// RetryUnplaced tries again to reserve agents for large tasks and to bind tasks that no
 // agent could be found for. Call it when agents change, and about once a second.
-func (s *Scheduler) Retry() {
+func (s *Scheduler) RetryUnplaced() {
 	for _, f := range s.unplaced {
 		s.queue.setBlocked(f, reserving, false)
 	}
@@ -205,7 +205,7 @@
 
 func nextNeed(j *Job) Need {
 	t := &j.Tasks[0]
-	return Need{Memory: t.Memory, RunTime: t.Run, Tasks: len(j.Tasks)}
+	return Need{Memory: t.Memory, RunTime: t.RunTime, Tasks: len(j.Tasks)}
 }
 
 // tryPlace places as many tasks of a job as the agent's credits and the limits of the
@@ -265,7 +265,7 @@
 	var best *Agent
 	if len(s.reserved)*maxReservedDivisor < len(s.Pool.all) {
 		for _, a := range s.Pool.all {
-			if a.reservedFor != nil || a.Standing != Open || a.units(need.Memory) > a.Slots {
+			if a.reservedFor != nil || a.Health != Healthy || a.units(need.Memory) > a.Slots {
 				continue
 			}
 			if best == nil || a.credits > best.credits {
@@ -290,12 +290,12 @@
 	s.reserved = s.reserved[:last]
 }
 
-// Want returns how many units this entry could start at an agent beyond the credits
+// WantedCredits returns how many units this entry could start at an agent beyond the credits
 // that it holds there.
-func (s *Scheduler) Want(a *Agent) int {
+func (s *Scheduler) WantedCredits(a *Agent) int {
 	want := a.boundUnits
 	switch f := a.reservedFor; {
-	case a.Standing == Suspended || a.shared:
+	case a.Health == Suspended || a.shared:
 		return 0
 	case f != nil && f.jobs.Len() > 0:
 		want = a.units(f.jobs.First().Tasks[0].Memory)
