--- a/cmd/internal/bench/run.go
+++ b/cmd/internal/bench/run.go
@@ -137,7 +137,7 @@
 		return ErrConfig.New("policy %q: known are: %s, %s, %s, %s, %s", c.Policy, PolicyCredits, PolicyDivided, PolicyRandom, PolicyTwoChoices, PolicyLeastLoaded)
 	}
 	o.EntryCore.ApplyPreset(c.Profile.Preset)
-	o.AgentCore.UsePreset(c.Profile.Preset)
+	o.AgentCore.ApplyPreset(c.Profile.Preset)
 	return nil
 }
 
--- a/dispatch/agent/agent.go
+++ b/dispatch/agent/agent.go
@@ -106,7 +106,7 @@
 		}
 		if p.session.TimedOut(now) {
 			a.recordPeer(now, event.PeerSuspected, p, "the link has gone silent", p.session.Epoch())
-			a.ready.Relink = append(a.ready.Relink, p.hello.Incarnation)
+			a.ready.Reconnect = append(a.ready.Reconnect, p.hello.Incarnation)
 			a.disconnect(now, p)
 		} else if p.session.Due(now) {
 			p.dirty = true
--- a/dispatch/agent/options.go
+++ b/dispatch/agent/options.go
@@ -57,8 +57,8 @@
 	DefaultRecallDelay = 10 * time.Millisecond
 )
 
-// UsePreset sets options that are unset to the values of a preset.
-func (o *Options) UsePreset(p preset.Preset) {
+// ApplyPreset sets options that are unset to the values of a preset.
+func (o *Options) ApplyPreset(p preset.Preset) {
 	if o.Link == (link.Options{}) {
 		o.Link = p.Link
 	}
@@ -105,7 +105,7 @@
 	Frames []OutgoingFrame
 	Run    []Run
 	Stop   []TaskRef
-	// Relink lists the entries (incarnations) whose link has timed out and must be
+	// Reconnect lists the entries (incarnations) whose link has timed out and must be
 	// replaced.
-	Relink []string
+	Reconnect []string
 }
--- a/dispatch/modelcheck/process.go
+++ b/dispatch/modelcheck/process.go
@@ -184,7 +184,7 @@
 			w.sendToEntry(c, o.Frame)
 		}
 	}
-	for _, inc := range ready.Relink {
+	for _, inc := range ready.Reconnect {
 		if e := w.byIncarnation[inc]; e != nil {
 			w.sendAnnounce(a, e, true)
 		}
--- a/node/agent/agent.go
+++ b/node/agent/agent.go
@@ -240,7 +240,7 @@
 			a.opts.Metrics.Message(metrics.AgentFrameKind(o.Frame), metrics.Sent, proto.Size(o.Frame))
 		}
 	}
-	for _, entry := range ready.Relink {
+	for _, entry := range ready.Reconnect {
 		if l := a.links[entry]; l != nil {
 			l.cancel()
 		}
--- a/node/process/agent.go
+++ b/node/process/agent.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	if p, ok := preset.ByName(s.Preset); ok {
-		core.UsePreset(p)
+		core.ApplyPreset(p)
 	}
 	core.Events = event.NewRing(event.Options{Process: s.Name, Worker: s.Worker, Size: o.Events})
 	collectors := metrics.NewAgent(o.Registry, metrics.Options{Role: string(s.Role), Version: o.Version, Ring: core.Events})
