--- a/dispatch/member/set.go
+++ b/dispatch/member/set.go
@@ -11,17 +11,17 @@
 
 // Options configures a Set. The zero value of a field means its default.
 type Options struct {
-	// Exchange is the interval between exchanges with a member. One side of a pair
+	// ExchangeInterval is the interval between exchanges with a member. One side of a pair
 	// sends the requests, and the response counts as proof of life for both.
-	Exchange time.Duration
+	ExchangeInterval time.Duration
 	// A member is dropped if nothing was received from it for DeadAfter and at
 	// least DeadFailures exchanges in a row have failed.
 	DeadAfter    time.Duration
 	DeadFailures int
-	// GoneAfter is the time without messages from an entry after which it may be
+	// AssumeStoppedAfter is the time without messages from an entry after which it may be
 	// assumed to start no more tasks; see Starters. It must exceed DeadAfter by more
 	// than clock differences and process pauses can account for.
-	GoneAfter time.Duration
+	AssumeStoppedAfter time.Duration
 	// LeaseTTL is the TTL of the announcements in the store.
 	LeaseTTL time.Duration
 	// CandidateRetryInterval is the interval between exchanges with a candidate that
@@ -44,7 +44,7 @@
 	DefaultExchangeInterval       = 2 * time.Second
 	DefaultDeadAfter              = 8 * time.Second
 	DefaultDeadFailures           = 3
-	DefaultGoneAfter              = 16 * time.Second
+	DefaultAssumeStoppedAfter              = 16 * time.Second
 	DefaultLeaseTTL               = 30 * time.Second
 	DefaultCandidateRetryInterval = 5 * time.Second
 	DefaultForgetAfter            = 10 * time.Minute
@@ -60,9 +60,9 @@
 )
 
 func (o Options) withDefaults() Options {
-	o.Exchange = cmp.Or(o.Exchange, DefaultExchangeInterval)
+	o.ExchangeInterval = cmp.Or(o.ExchangeInterval, DefaultExchangeInterval)
 	o.DeadAfter = cmp.Or(o.DeadAfter, DefaultDeadAfter)
-	o.GoneAfter = cmp.Or(o.GoneAfter, DefaultGoneAfter)
+	o.AssumeStoppedAfter = cmp.Or(o.AssumeStoppedAfter, DefaultAssumeStoppedAfter)
 	o.LeaseTTL = cmp.Or(o.LeaseTTL, DefaultLeaseTTL)
 	o.CandidateRetryInterval = cmp.Or(o.CandidateRetryInterval, DefaultCandidateRetryInterval)
 	o.ForgetAfter = cmp.Or(o.ForgetAfter, DefaultForgetAfter)
@@ -74,13 +74,13 @@
 	return o
 }
 
-// Ask is an exchange that the driver has to perform. The driver reports the result
+// ExchangeRequest is an exchange that the driver has to perform. The driver reports the result
 // with Heard or Failed. Incarnation is empty for a request to a join address.
-type Ask struct {
+type ExchangeRequest struct {
 	Address     string
 	Incarnation string
-	// Covered is the last known configuration revision of the other entry.
-	Covered uint64
+	// ConfigRevision is the last known configuration revision of the other entry.
+	ConfigRevision uint64
 }
 
 // entry is the state of one other entry process.
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// Store records whether the store is reachable.
-func (s *Set) Store(now time.Time, reachable bool) {
+// SetStoreReachable records whether the store is reachable.
+func (s *Set) SetStoreReachable(now time.Time, reachable bool) {
 	if s.storeReachable && !reachable {
 		s.storeUnreachableSince = now
 		s.nextJoin = now.Add(s.jitter(s.options.JoinInterval))
@@ -160,8 +160,8 @@
 	s.storeReachable = reachable
 }
 
-// Listed handles the complete list of entries in the store.
-func (s *Set) Listed(now time.Time, peers []*pb.Peer) {
+// ApplyList handles the complete list of entries in the store.
+func (s *Set) ApplyList(now time.Time, peers []*pb.Peer) {
 	listed := map[string]bool{}
 	for _, p := range peers {
 		listed[p.Incarnation] = true
@@ -210,12 +210,12 @@
 	return e
 }
 
-// Heard handles the state that another entry has sent, in its request or in answer
+// ReceiveState handles the state that another entry has sent, in its request or in answer
 // to one. Asked is the incarnation that the request was sent to, or empty.
-func (s *Set) Heard(now time.Time, asked string, state *pb.PeerState) {
+func (s *Set) ReceiveState(now time.Time, asked string, state *pb.PeerState) {
 	sender := state.GetSelf()
 	if sender.GetIncarnation() == "" {
-		s.Failed(now, asked)
+		s.ExchangeFailed(now, asked)
 		return
 	}
 	if asked != "" && asked != sender.Incarnation {
@@ -254,9 +254,9 @@
 // takes over when that one stops.
 func (s *Set) exchangeInterval(other *pb.Peer) time.Duration {
 	if s.self.Incarnation < other.Incarnation {
-		return s.options.Exchange
+		return s.options.ExchangeInterval
 	}
-	return s.options.Exchange*3/2 + s.jitter(s.options.Exchange/2)
+	return s.options.ExchangeInterval*3/2 + s.jitter(s.options.ExchangeInterval/2)
 }
 
 // jitter returns a random duration between d/2 and d, so that processes don't send
@@ -265,8 +265,8 @@
 	return d/2 + time.Duration(s.random()*float64(d)/2)
 }
 
-// Failed handles an exchange that got no response.
-func (s *Set) Failed(now time.Time, incarnation string) {
+// ExchangeFailed handles an exchange that got no response.
+func (s *Set) ExchangeFailed(now time.Time, incarnation string) {
 	e := s.entries[incarnation]
 	if e == nil {
 		return
@@ -317,8 +317,8 @@
 
 // Tick returns the exchanges to perform now. Call it no later than the time that
 // Next returns.
-func (s *Set) Tick(now time.Time) []Ask {
-	var exchanges []Ask
+func (s *Set) Tick(now time.Time) []ExchangeRequest {
+	var exchanges []ExchangeRequest
 	for incarnation, e := range s.entries {
 		s.checkLiveness(now, e)
 		if !e.member && e.assumedStopped && !e.inStore && now.Sub(e.lastListed) >= s.options.ForgetAfter {
@@ -327,7 +327,7 @@
 		}
 		if !e.exchanging && !now.Before(e.nextExchange) {
 			e.exchanging = true
-			exchanges = append(exchanges, Ask{Address: e.peer.Address, Incarnation: incarnation, Covered: e.configRevision})
+			exchanges = append(exchanges, ExchangeRequest{Address: e.peer.Address, Incarnation: incarnation, ConfigRevision: e.configRevision})
 		}
 	}
 	for incarnation, at := range s.ended {
@@ -335,7 +335,7 @@
 			delete(s.ended, incarnation)
 		}
 	}
-	slices.SortFunc(exchanges, func(a, b Ask) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	slices.SortFunc(exchanges, func(a, b ExchangeRequest) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	return append(exchanges, s.joinRequests(now)...)
 }
 
@@ -358,7 +358,7 @@
 // that starts while the store is down has no other way to join. Two groups that
 // started separately find each other when a load balancer routes a request to the
 // other group.
-func (s *Set) joinRequests(now time.Time) []Ask {
+func (s *Set) joinRequests(now time.Time) []ExchangeRequest {
 	if s.storeReachable || len(s.joinAddresses) == 0 || now.Before(s.nextJoin) {
 		return nil
 	}
@@ -368,7 +368,7 @@
 	}
 	s.nextJoin = now.Add(s.jitter(2 * wait))
 	s.joinIndex++
-	return []Ask{{Address: s.joinAddresses[s.joinIndex%len(s.joinAddresses)]}}
+	return []ExchangeRequest{{Address: s.joinAddresses[s.joinIndex%len(s.joinAddresses)]}}
 }
 
 // Next returns the time of the next call of Tick, or the zero time if none is
--- a/dispatch/member/set_test.go
+++ b/dispatch/member/set_test.go
@@ -20,10 +20,10 @@
 func run(s *Set, from time.Time, during time.Duration, responsive ...int) time.Time {
 	for end := from.Add(during); from.Before(end); from = from.Add(time.Second) {
 		for _, a := range s.Tick(from) {
-			s.Failed(from, a.Incarnation)
+			s.ExchangeFailed(from, a.Incarnation)
 		}
 		for _, i := range responsive {
-			s.Heard(from, "", &pb.PeerState{Self: peer(i)})
+			s.ReceiveState(from, "", &pb.PeerState{Self: peer(i)})
 		}
 	}
 	return from
@@ -54,20 +54,20 @@
 	}
 	for _, tt := range tests {
 		s := New(peer(0), nil, func() float64 { return 0.5 }, Options{})
-		s.Store(start, true)
-		s.Listed(start, []*pb.Peer{peer(0), peer(1), peer(2)})
-		s.Lease(start)
+		s.SetStoreReachable(start, true)
+		s.ApplyList(start, []*pb.Peer{peer(0), peer(1), peer(2)})
+		s.LeaseRenewed(start)
 		now := run(s, start, time.Minute, 1, 2)
-		s.Lease(now)
-		s.Store(now, tt.store)
+		s.LeaseRenewed(now)
+		s.SetStoreReachable(now, tt.store)
 		if tt.lapsed {
 			s.Withdrawn(now, "i2")
 		}
 		now = run(s, now, tt.after, tt.responsive...)
 		if tt.lease {
-			s.Lease(now)
+			s.LeaseRenewed(now)
 		}
-		if got := s.Starters(now); !slices.Equal(got, tt.starters) || s.Fenced(now) != tt.fenced {
+		if got := s.PossibleStarters(now); !slices.Equal(got, tt.starters) || s.Fenced(now) != tt.fenced {
 			t.Errorf("%s: starters %v, fenced %v; want %v, %v", tt.name, got, s.Fenced(now), tt.starters, tt.fenced)
 		}
 	}
@@ -80,9 +80,9 @@
 	now := run(s, start, 10*time.Second, 1, 2, 3)
 	last := peer(1)
 	last.Ended = true
-	s.Heard(now, "", &pb.PeerState{Self: last})
-	s.Heard(now, "i2", &pb.PeerState{Self: peer(4), Peers: []*pb.Peer{peer(1), peer(2)}})
-	if got := s.Starters(now); !slices.Equal(got, []string{"i3", "i4"}) {
+	s.ReceiveState(now, "", &pb.PeerState{Self: last})
+	s.ReceiveState(now, "i2", &pb.PeerState{Self: peer(4), Peers: []*pb.Peer{peer(1), peer(2)}})
+	if got := s.PossibleStarters(now); !slices.Equal(got, []string{"i3", "i4"}) {
 		t.Errorf("starters %v", got)
 	}
 }
--- a/dispatch/member/starters.go
+++ b/dispatch/member/starters.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Starters returns the incarnations of the other entries that may still start
+// PossibleStarters returns the incarnations of the other entries that may still start
 // tasks, and whose share of each contract must not be used by others. It may return
 // entries that have ended, whereas Members may omit entries that are alive.
 //
@@ -23,7 +23,7 @@
 // One case remains: in a network partition one side reaches the store while the
 // other holds the majority. Then each side may use the shares of the other until the
 // partition heals.
-func (s *Set) Starters(now time.Time) []string {
+func (s *Set) PossibleStarters(now time.Time) []string {
 	if s.storeUnreachableSince.IsZero() {
 		s.storeUnreachableSince = now
 	}
@@ -35,7 +35,7 @@
 		return e.inStore || now.Sub(s.storeReachableSince) < s.options.LeaseTTL
 	}
 	for _, e := range s.entries {
-		if s.sinceReceived(now, e) >= s.options.GoneAfter && !mayStart(e) {
+		if s.sinceReceived(now, e) >= s.options.AssumeStoppedAfter && !mayStart(e) {
 			e.assumedStopped = true
 		}
 	}
@@ -48,9 +48,9 @@
 	return starters
 }
 
-// Lease records a renewal of this entry's lease in the store. Sent is the time at
+// LeaseRenewed records a renewal of this entry's lease in the store. Sent is the time at
 // which the renewal was requested; the lease may lapse one TTL after it.
-func (s *Set) Lease(sent time.Time) { s.leaseUntil = sent.Add(s.options.LeaseTTL) }
+func (s *Set) LeaseRenewed(sent time.Time) { s.leaseUntil = sent.Add(s.options.LeaseTTL) }
 
 // Fenced reports whether other entries may assume that this entry has stopped. If
 // so, it must not start tasks.
--- a/node/membership/exchange.go
+++ b/node/membership/exchange.go
@@ -37,7 +37,7 @@
 func (m *Membership) applyState(target string, state *pb.PeerState) {
 	m.opts.Config.Apply(state.Contracts, state.ConfigSince, state.ConfigRevision)
 	m.update(func(now time.Time, s *member.Set) {
-		s.Heard(now, target, state)
+		s.ReceiveState(now, target, state)
 		// Without the store, one member suffices, since it names the others.
 		m.discovered = m.discovered || (!m.storeReachable && len(s.Members()) > 0)
 	})
@@ -77,7 +77,7 @@
 
 func (m *Membership) exchangeAll(ctx context.Context, wg *sync.WaitGroup) {
 	for _, p := range m.Peers()[1:] {
-		wg.Go(func() { m.exchange(ctx, member.Ask{Address: p.Address, Incarnation: p.Incarnation}) })
+		wg.Go(func() { m.exchange(ctx, member.ExchangeRequest{Address: p.Address, Incarnation: p.Incarnation}) })
 	}
 }
 
@@ -87,14 +87,14 @@
 	}
 	m.mu.Lock()
 	now := time.Now()
-	starters := m.set.Starters(now)
+	starters := m.set.PossibleStarters(now)
 	fenced := !m.discovered || m.set.Fenced(now)
 	m.mu.Unlock()
 	m.opts.OnStarters(starters, fenced)
 }
 
 // dueExchanges returns the exchanges that are due, and resets the timer to the next one.
-func (m *Membership) dueExchanges(timer *time.Timer) []member.Ask {
+func (m *Membership) dueExchanges(timer *time.Timer) []member.ExchangeRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -108,32 +108,32 @@
 
 // exchange makes one exchange, and repeats it while the other entry has more
 // contracts to send.
-func (m *Membership) exchange(ctx context.Context, a member.Ask) {
+func (m *Membership) exchange(ctx context.Context, a member.ExchangeRequest) {
 	for {
 		before := m.opts.Config.Snapshot().Covered()
 		state, err := m.exchangeOnce(ctx, a)
 		if err != nil {
-			m.update(func(now time.Time, s *member.Set) { s.Failed(now, a.Incarnation) })
+			m.update(func(now time.Time, s *member.Set) { s.ExchangeFailed(now, a.Incarnation) })
 			return
 		}
 		m.applyState(a.Incarnation, state)
 		if len(state.Contracts) < maxContractsPerMessage || m.opts.Config.Snapshot().Covered() <= before {
 			return
 		}
-		a.Covered = state.ConfigRevision
+		a.ConfigRevision = state.ConfigRevision
 	}
 }
 
 // request returns the state that begins an exchange. An entry that has never answered
 // may have newer contracts, or be this process itself, reached through the balancer.
 // Such an entry is sent no contracts until its answer shows which it lacks.
-func (m *Membership) request(a member.Ask) *pb.PeerState {
-	covered := a.Covered
+func (m *Membership) request(a member.ExchangeRequest) *pb.PeerState {
+	covered := a.ConfigRevision
 	covered = cmp.Or(covered, m.opts.Config.Snapshot().Covered())
 	return m.stateFor(a.Incarnation, covered)
 }
 
-func (m *Membership) exchangeOnce(ctx context.Context, a member.Ask) (*pb.PeerState, error) {
+func (m *Membership) exchangeOnce(ctx context.Context, a member.ExchangeRequest) (*pb.PeerState, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.ExchangeTimeout)
 	defer cancel()
 	return m.opts.Exchanger.Exchange(ctx, a.Address, m.request(a))
--- a/node/membership/membership.go
+++ b/node/membership/membership.go
@@ -186,7 +186,7 @@
 	var wg sync.WaitGroup
 	for _, p := range m.Peers() {
 		if p.Incarnation != m.opts.Self.Incarnation {
-			wg.Go(func() { m.exchange(context.Background(), member.Ask{Address: p.Address, Incarnation: p.Incarnation}) })
+			wg.Go(func() { m.exchange(context.Background(), member.ExchangeRequest{Address: p.Address, Incarnation: p.Incarnation}) })
 		}
 	}
 	return &wg
@@ -235,7 +235,7 @@
 		}
 		m.storeReachable = reachable
 		m.storeError.Store(errorText(err))
-		s.Store(now, reachable)
+		s.SetStoreReachable(now, reachable)
 	})
 }
 
--- a/node/membership/store.go
+++ b/node/membership/store.go
@@ -39,7 +39,7 @@
 	m.opts.Config.Apply(contracts, 0, uint64(revision))
 	m.followedRevision = revision
 	m.update(func(now time.Time, s *member.Set) {
-		s.Listed(now, peers)
+		s.ApplyList(now, peers)
 		for _, p := range peers {
 			m.checkSelf(p)
 		}
@@ -178,7 +178,7 @@
 // renewed reports a renewal of the announcement by a call that began at the given time.
 // A tenth of the lease is kept as a margin for clocks that run at different rates.
 func (m *Membership) renewed(ctx context.Context, start time.Time) {
-	m.update(func(_ time.Time, s *member.Set) { s.Lease(start) })
+	m.update(func(_ time.Time, s *member.Set) { s.LeaseRenewed(start) })
 	if m.opts.OnAnnounced != nil && m.opts.OnAnnounced(start.Add(m.opts.LeaseTTL*9/10)) {
 		m.listEntries(ctx)
 	}
--- a/node/process/fleet_test.go
+++ b/node/process/fleet_test.go
@@ -161,7 +161,7 @@
 func TestCrashDeletionAndOutage(t *testing.T) {
 	// A tenth of the intervals in production.
 	f := &fleet{t: t, leaseTTL: 3 * time.Second, member: member.Options{
-		Exchange: 200 * time.Millisecond, DeadAfter: 800 * time.Millisecond, GoneAfter: 1600 * time.Millisecond,
+		ExchangeInterval: 200 * time.Millisecond, DeadAfter: 800 * time.Millisecond, AssumeStoppedAfter: 1600 * time.Millisecond,
 	}}
 	f.open(2, 2)
 	if status, code := f.submit(f.entries[0], 1); status != http.StatusForbidden || code != jobs.CodeUnknownContract {
