--- a/dispatch/agent/credits.go
+++ b/dispatch/agent/credits.go
@@ -11,7 +11,7 @@
 	for _, g := range a.slots.Balance(now, nil) {
 		p := a.peer(g.Entry)
 		p.pending.Granted += uint32(g.Granted)
-		p.pending.Recall += uint32(g.Recall)
+		p.pending.Recall += uint32(g.Recalled)
 		p.dirty = true
 	}
 }
--- a/dispatch/agent/queue.go
+++ b/dispatch/agent/queue.go
@@ -32,7 +32,7 @@
 	if o.Divided {
 		return limit.NewCredits(limit.CreditsOptions{Slots: int(o.Hello.Slots), RecallDelay: o.RecallDelay})
 	}
-	return limit.NewShared(limit.SharedOptions{Slots: int(o.Hello.Slots), MaxQueued: o.MaxQueued})
+	return limit.NewSharedSlots(limit.SharedSlotsOptions{Slots: int(o.Hello.Slots), MaxQueued: o.MaxQueued})
 }
 
 // queuedTask is a task that was accepted but has not started.
--- a/dispatch/entry/place.go
+++ b/dispatch/entry/place.go
@@ -16,7 +16,7 @@
 			a.track(&js.tasks[p.Tasks[i].Number])
 		}
 	}
-	e.policy.rateOpensAt = e.policy.limits.OpensAt(now)
+	e.policy.rateOpensAt = e.policy.limits.UnblocksAt(now)
 	e.requestExchange(now)
 	e.trackStarvation(now)
 	e.advertiseDemand()
--- a/dispatch/entry/policy.go
+++ b/dispatch/entry/policy.go
@@ -63,7 +63,7 @@
 	if c != nil && !c.Deleted {
 		applied = limit.Contract{
 			Name: name, Rate: c.Rate, Burst: c.Burst, Concurrency: c.Concurrency,
-			MemoryBytes: c.MemoryBytes, Waiting: c.Waiting,
+			MemoryBytes: c.MemoryBytes, MaxWaiting: c.Waiting,
 		}
 		p.sched.SetContract(name, classOf(c), c.Weight)
 	}
@@ -88,8 +88,8 @@
 func (e *Entry) applyShares(now time.Time) {
 	p := e.policy
 	for name := range p.contracts {
-		slots, total := p.shares.Part(name)
-		if p.limits.SetPart(name, slots, total, now) {
+		slots, total := p.shares.Share(name)
+		if p.limits.SetShare(name, slots, total, now) {
 			p.exchangeBackoff = 0
 			p.sched.Unblock(name)
 		}
@@ -102,7 +102,7 @@
 	_, largest := e.policy.sched.Pool.Largest()
 	largest = cmp.Or(largest, math.MaxUint64)
 	left := time.Duration(j.TimeoutMs) * time.Millisecond
-	r := limit.Request{Contract: j.Contract, Tasks: len(j.Tasks), Left: left, LargestMemory: largest}
+	r := limit.Request{Contract: j.Contract, Tasks: len(j.Tasks), TimeLeft: left, MaxWorkerMemory: largest}
 	w := &place.Job{
 		ID: j.Id, Contract: j.Contract, Kind: j.Kind, Deadline: now.Add(left),
 		Tasks: make([]place.Task, len(j.Tasks)),
@@ -115,8 +115,8 @@
 		}
 		w.Tasks[i] = place.Task{Number: uint32(i), RunTime: s.Run, Memory: s.Memory}
 		w.MinRunTime = s.MedianRun
-		r.MemoryBytes = max(r.MemoryBytes, s.Memory)
-		r.Work += s.Run
+		r.MaxTaskMemory = max(r.MaxTaskMemory, s.Memory)
+		r.TotalRun += s.Run
 		r.MinRun, r.LikelyRun = s.MinRun, s.MedianRun
 	}
 	place.LongestFirst(w.Tasks)
@@ -132,9 +132,9 @@
 // of it has been sent to any agent, so the outcome is "not run".
 func (e *Entry) refusal(now time.Time, j *pb.Job, r limit.Request) *pb.Answer {
 	p := e.policy
-	r.Waiting = p.sched.WaitingOf(j.Contract)
+	r.WaitingTasks = p.sched.WaitingOf(j.Contract)
 	r.Entries = len(e.otherEntries) + 1
-	r.QueueWait = p.sched.Queue().EstimateWait(j.Contract, r.Work, p.sched.Pool.UsableSlots())
+	r.QueueWait = p.sched.Queue().EstimateWait(j.Contract, r.TotalRun, p.sched.Pool.UsableSlots())
 	if refused := p.limits.Admit(r, now); refused != nil {
 		return refuse(j.Id, refused.Code, refused.Message, refused.RetryAfter)
 	}
@@ -173,7 +173,7 @@
 		p.sched.Pool.Ended(known, known.Units(t.start.MemoryBytes))
 	}
 	contract := t.job.job.Contract
-	if p.limits.Ended(contract, t.start.MemoryBytes) {
+	if p.limits.TaskEnded(contract, t.start.MemoryBytes) {
 		p.sched.Unblock(contract)
 	}
 }
@@ -224,7 +224,7 @@
 // shares, agents' health and waiting jobs that have become infeasible.
 func (e *Entry) recheck(now time.Time) {
 	p := e.policy
-	p.limits.Open(now, p.sched.Unblock)
+	p.limits.Unblock(now, p.sched.Unblock)
 	if now.Sub(p.lastRecheck) < checkInterval {
 		return
 	}
--- a/dispatch/entry/shares.go
+++ b/dispatch/entry/shares.go
@@ -24,7 +24,7 @@
 	}
 	for name := range e.otherEntries {
 		if !slices.Contains(others, name) {
-			shares.Gone(name)
+			shares.RemoveMember(name)
 		}
 	}
 	e.otherEntries = make(map[string]bool, len(others))
@@ -48,7 +48,7 @@
 func (e *Entry) HoldsShares() bool {
 	none := true
 	for name := range e.policy.contracts {
-		slots, total := e.policy.shares.Part(name)
+		slots, total := e.policy.shares.Share(name)
 		if slots > 0 {
 			return true
 		}
@@ -65,7 +65,7 @@
 // don't enlarge its share because the other entries need theirs too.
 func (e *Entry) requestExchange(now time.Time) {
 	p := e.policy
-	if len(e.otherEntries) == 0 || !p.limits.AnyAtPart() || now.Before(p.exchangeRequested.Add(max(p.exchangeBackoff, e.opts.ExchangeAfter))) {
+	if len(e.otherEntries) == 0 || !p.limits.AnyBlockedByShare() || now.Before(p.exchangeRequested.Add(max(p.exchangeBackoff, e.opts.ExchangeAfter))) {
 		return
 	}
 	p.exchangeRequested = now
@@ -112,14 +112,14 @@
 	}, now)
 	e.policy.shares.Tick(now)
 	e.applyShares(now)
-	if p := e.policy; p.shares.Promised() && now.After(p.exchangeRequested.Add(time.Millisecond)) {
+	if p := e.policy; p.shares.IncreasePending() && now.After(p.exchangeRequested.Add(time.Millisecond)) {
 		// The other entries have not confirmed yet that they follow the plan.
 		p.exchangeRequested = now
 		e.ready.Exchange = true
 	}
 }
 
-func partsToProto(p limit.Parts) []*pb.SharePart {
+func partsToProto(p limit.SlotsByContract) []*pb.SharePart {
 	out := make([]*pb.SharePart, 0, len(p))
 	for _, contract := range slices.Sorted(maps.Keys(p)) {
 		out = append(out, &pb.SharePart{Contract: contract, Slots: p[contract]})
@@ -127,8 +127,8 @@
 	return out
 }
 
-func partsFromProto(parts []*pb.SharePart) limit.Parts {
-	out := make(limit.Parts, len(parts))
+func partsFromProto(parts []*pb.SharePart) limit.SlotsByContract {
+	out := make(limit.SlotsByContract, len(parts))
 	for _, p := range parts {
 		out[p.Contract] = p.Slots
 	}
@@ -147,7 +147,7 @@
 	p := &limit.Plan{
 		ID:      limit.PlanID{Number: m.GetNumber(), Allocator: m.GetAllocator()},
 		Total:   partsFromProto(m.GetTotals()),
-		Entries: make(map[string]limit.Parts, len(m.GetEntries())),
+		Entries: make(map[string]limit.SlotsByContract, len(m.GetEntries())),
 	}
 	for _, e := range m.GetEntries() {
 		p.Entries[e.Entry] = partsFromProto(e.Parts)
--- a/dispatch/limit/credits.go
+++ b/dispatch/limit/credits.go
@@ -49,7 +49,7 @@
 	// Granted is the number of new credits, Recall the number of credits that the
 	// agent asks the entry to return.
 	Granted int
-	Recall  int
+	Recalled  int
 }
 
 // NewCredits returns credits with all slots free.
@@ -308,9 +308,9 @@
 func addRecall(changes []Grant, entry string, n int) []Grant {
 	for i := range changes {
 		if changes[i].Entry == entry {
-			changes[i].Recall += n
+			changes[i].Recalled += n
 			return changes
 		}
 	}
-	return append(changes, Grant{Entry: entry, Recall: n})
+	return append(changes, Grant{Entry: entry, Recalled: n})
 }
--- a/dispatch/limit/doc.go
+++ b/dispatch/limit/doc.go
@@ -5,7 +5,7 @@
 //   - [Limiter] enforces an entry's share of each contract: rate, concurrency,
 //     memory and waiting tasks.
 //   - [Credits] divides an agent's slots between the entries as permissions to
-//     start tasks. [Shared] offers all slots to every entry instead.
+//     start tasks. [SharedSlots] offers all slots to every entry instead.
 //
 // The package does no I/O, reads no clock and starts no goroutine. Nothing in it
 // is safe for concurrent use: callers must serialize access.
--- a/dispatch/limit/limit_test.go
+++ b/dispatch/limit/limit_test.go
@@ -49,8 +49,8 @@
 				now = now.Add(20 * time.Millisecond)
 			case 7:
 				for _, g := range c.Balance(now, nil) {
-					if g.Recall > c.Granted(g.Entry) {
-						t.Fatalf("recall of %d from %s, which has %d", g.Recall, g.Entry, c.Granted(g.Entry))
+					if g.Recalled > c.Granted(g.Entry) {
+						t.Fatalf("recall of %d from %s, which has %d", g.Recalled, g.Entry, c.Granted(g.Entry))
 					}
 				}
 			}
@@ -67,7 +67,7 @@
 func TestSharedNeverExceedsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
-		s := NewShared(SharedOptions{Slots: slots, MaxQueued: 3})
+		s := NewSharedSlots(SharedSlotsOptions{Slots: slots, MaxQueued: 3})
 		type start struct {
 			entry string
 			units int
@@ -133,7 +133,7 @@
 	c.Start("b", 2)
 	c.Balance(epoch.Add(10*time.Millisecond), nil)
 	got := c.Balance(epoch.Add(20*time.Millisecond), nil)
-	if diff := cmp.Diff([]Grant{{Entry: "b", Recall: 2}}, got); diff != "" {
+	if diff := cmp.Diff([]Grant{{Entry: "b", Recalled: 2}}, got); diff != "" {
 		t.Errorf("recall (-want +got): %s", diff)
 	}
 	c.Returned("b", 2)
@@ -191,7 +191,7 @@
 
 func (n *network) totals() (held, using uint32) {
 	for name, s := range n.shares {
-		slots, _ := s.Part("c")
+		slots, _ := s.Share("c")
 		held += slots
 		using += n.using[name]
 	}
@@ -256,7 +256,7 @@
 			case 6:
 				n.queue[[2]string{from, to}] = nil
 			case 7:
-				if slots, _ := s.Part("c"); n.using[from] < slots {
+				if slots, _ := s.Share("c"); n.using[from] < slots {
 					n.using[from]++
 				} else if n.using[from] > 0 {
 					n.using[from]--
@@ -284,7 +284,7 @@
 	n.converge()
 	n.shares[n.names[0]].SetDemand("c", 200)
 	n.converge()
-	if slots, _ := n.shares[n.names[0]].Part("c"); slots < 70 {
+	if slots, _ := n.shares[n.names[0]].Share("c"); slots < 70 {
 		t.Errorf("the only entry with demand has %d of 90 slots, want at least 70", slots)
 	}
 	// One entry leaves and the others take over its share.
@@ -292,7 +292,7 @@
 	n.names = n.names[1:]
 	delete(n.shares, gone)
 	for _, s := range n.shares {
-		s.Gone(gone)
+		s.RemoveMember(gone)
 	}
 	n.converge()
 	if held, _ := n.totals(); held != 90 {
@@ -300,7 +300,7 @@
 	}
 	s := n.shares[n.names[0]]
 	s.SetFenced(true)
-	if slots, _ := s.Part("c"); slots != 0 {
+	if slots, _ := s.Share("c"); slots != 0 {
 		t.Errorf("a fenced entry holds %d slots, want 0", slots)
 	}
 }
@@ -319,7 +319,7 @@
 	none := func(string) uint32 { return 0 }
 	fresh.Receive(old.State(none), epoch)
 	old.Receive(fresh.State(none), epoch)
-	old.Gone("ended")
+	old.RemoveMember("ended")
 	later := epoch.Add(unconfirmedTTL)
 	for range 4 {
 		old.Tick(later)
@@ -328,7 +328,7 @@
 		old.Receive(fresh.State(none), later)
 	}
 	for name, s := range map[string]*Shares{"old": old, "fresh": fresh} {
-		if slots, _ := s.Part("c"); slots != 4 {
+		if slots, _ := s.Share("c"); slots != 4 {
 			t.Errorf("%s entry has %d of 8 slots", name, slots)
 		}
 	}
@@ -338,7 +338,7 @@
 	l := NewLimiter()
 	c.Name = "c"
 	l.SetContract(c, epoch)
-	l.SetPart("c", c.Concurrency, c.Concurrency, epoch)
+	l.SetShare("c", c.Concurrency, c.Concurrency, epoch)
 	return l
 }
 
@@ -378,9 +378,9 @@
 	c := Contract{Name: "c", Rate: 1, Burst: 10, Concurrency: 10, MemoryBytes: 1}
 	l := NewLimiter()
 	l.SetContract(c, epoch)
-	l.SetPart("c", 0, 10, epoch)
+	l.SetShare("c", 0, 10, epoch)
 	at := epoch.Add(time.Hour)
-	l.SetPart("c", 10, 10, at)
+	l.SetShare("c", 10, 10, at)
 	if n := l.Allow(at, "c", make([]place.Task, 10)); n != 0 {
 		t.Errorf("%d tasks may start at once, want 0", n)
 	}
@@ -390,8 +390,8 @@
 }
 
 func TestLimiterAdmit(t *testing.T) {
-	l := newLimiter(Contract{Rate: 10, Burst: 1, Concurrency: 10, MemoryBytes: 1000, Waiting: 100})
-	ok := Request{Contract: "c", Tasks: 1, Left: time.Minute, Work: time.Second, LargestMemory: 2000}
+	l := newLimiter(Contract{Rate: 10, Burst: 1, Concurrency: 10, MemoryBytes: 1000, MaxWaiting: 100})
+	ok := Request{Contract: "c", Tasks: 1, TimeLeft: time.Minute, TotalRun: time.Second, MaxWorkerMemory: 2000}
 	cases := []struct {
 		name   string
 		change func(*Request)
@@ -400,15 +400,15 @@
 	}{
 		{"admitted", func(*Request) {}, "", false},
 		{"unknown", func(r *Request) { r.Contract = "x" }, jobs.CodeUnknownContract, false},
-		{"memory", func(r *Request) { r.MemoryBytes = 1001 }, jobs.CodeDoesNotFit, false},
-		{"no worker", func(r *Request) { r.LargestMemory, r.MemoryBytes = 500, 600 }, jobs.CodeDoesNotFit, false},
+		{"memory", func(r *Request) { r.MaxTaskMemory = 1001 }, jobs.CodeDoesNotFit, false},
+		{"no worker", func(r *Request) { r.MaxWorkerMemory, r.MaxTaskMemory = 500, 600 }, jobs.CodeDoesNotFit, false},
 		{"deadline too short", func(r *Request) { r.MinRun = time.Minute }, jobs.CodeDeadline, false},
 		{"large job alone", func(r *Request) { r.Tasks, r.Entries = 100, 3 }, "", false},
 		{"more than the waiting limit", func(r *Request) { r.Tasks = 101 }, jobs.CodeQueueFull, true},
-		{"waiting", func(r *Request) { r.Waiting = 100 }, jobs.CodeQueueFull, true},
-		{"rate", func(r *Request) { r.Waiting, r.Left = 90, 5*time.Second }, jobs.CodeRateLimited, true},
+		{"waiting", func(r *Request) { r.WaitingTasks = 100 }, jobs.CodeQueueFull, true},
+		{"rate", func(r *Request) { r.WaitingTasks, r.TimeLeft = 90, 5*time.Second }, jobs.CodeRateLimited, true},
 		{"overload", func(r *Request) { r.QueueWait = 2 * time.Minute }, jobs.CodeOverloaded, true},
-		{"no deadline", func(r *Request) { r.QueueWait, r.Left = time.Hour, 0 }, "", false},
+		{"no deadline", func(r *Request) { r.QueueWait, r.TimeLeft = time.Hour, 0 }, "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -434,6 +434,6 @@
 		if l.Allow(at, "c", tasks) != 1 {
 			b.Fatal("Allow refused a task within the limits")
 		}
-		l.Ended("c", 0)
+		l.TaskEnded("c", 0)
 	}
 }
--- a/dispatch/limit/limiter.go
+++ b/dispatch/limit/limiter.go
@@ -20,8 +20,8 @@
 	Burst       uint32
 	Concurrency uint32
 	MemoryBytes uint64
-	// Waiting is the maximum number of tasks that are accepted and not started.
-	Waiting uint32
+	// MaxWaiting is the maximum number of tasks that are accepted and not started.
+	MaxWaiting uint32
 }
 
 // Refusal is the reason why a job is not admitted. None of the job's tasks has run: a
@@ -76,9 +76,9 @@
 // RemoveContract removes a contract. Its running tasks are no longer counted.
 func (l *Limiter) RemoveContract(contract string) { delete(l.contracts, contract) }
 
-// SetPart sets the entry's share of a contract: slots out of total. It returns
+// SetShare sets the entry's share of a contract: slots out of total. It returns
 // whether the share has changed.
-func (l *Limiter) SetPart(contract string, slots, total uint32, now time.Time) bool {
+func (l *Limiter) SetShare(contract string, slots, total uint32, now time.Time) bool {
 	u := l.contracts[contract]
 	if u == nil || (u.slots == slots && u.total == total) {
 		return false
@@ -138,9 +138,9 @@
 	return n
 }
 
-// Ended records the end of a task and releases the memory that was reserved for it.
+// TaskEnded records the end of a task and releases the memory that was reserved for it.
 // It returns whether the contract was blocked, which is cleared.
-func (l *Limiter) Ended(contract string, memory uint64) bool {
+func (l *Limiter) TaskEnded(contract string, memory uint64) bool {
 	u := l.contracts[contract]
 	if u == nil {
 		return false
@@ -156,9 +156,9 @@
 	return wasBlocked
 }
 
-// Open unblocks each blocked contract that may start tasks again because time has
+// Unblock unblocks each blocked contract that may start tasks again because time has
 // passed, and calls f with it.
-func (l *Limiter) Open(now time.Time, f func(contract string)) {
+func (l *Limiter) Unblock(now time.Time, f func(contract string)) {
 	for name, u := range l.contracts {
 		if u.blocked && u.running < u.concurrency() && u.bucket.TokensAt(now) >= 1 {
 			u.unblock()
@@ -167,9 +167,9 @@
 	}
 }
 
-// AnyAtPart reports whether some contract is blocked of which this entry holds less
+// AnyBlockedByShare reports whether some contract is blocked of which this entry holds less
 // than the whole, so that a larger share could help.
-func (l *Limiter) AnyAtPart() bool {
+func (l *Limiter) AnyBlockedByShare() bool {
 	for _, u := range l.contracts {
 		if u.blocked && u.slots < u.total {
 			return true
@@ -187,9 +187,9 @@
 	return 0
 }
 
-// OpensAt returns the earliest time at which Open may unblock a contract, zero if time
+// UnblocksAt returns the earliest time at which Open may unblock a contract, zero if time
 // alone unblocks none.
-func (l *Limiter) OpensAt(now time.Time) time.Time {
+func (l *Limiter) UnblocksAt(now time.Time) time.Time {
 	var at time.Time
 	for name, u := range l.contracts {
 		if !u.blocked {
@@ -217,19 +217,19 @@
 type Request struct {
 	Contract string
 	Tasks    int
-	// MemoryBytes is the memory of its largest task, LargestMemory that of the
+	// MaxTaskMemory is the memory of its largest task, MaxWorkerMemory that of the
 	// largest worker.
-	MemoryBytes, LargestMemory uint64
-	// Left is the time left until the deadline. If it is not positive, the job has no
+	MaxTaskMemory, MaxWorkerMemory uint64
+	// TimeLeft is the time left until the deadline. If it is not positive, the job has no
 	// deadline.
-	Left time.Duration
+	TimeLeft time.Duration
 	// MinRun is the shortest run time, LikelyRun the usual one; zero if unknown.
 	MinRun, LikelyRun time.Duration
-	// Work is the sum of the tasks' expected run times.
-	Work time.Duration
-	// Waiting is the number of the contract's tasks that wait here, QueueWait the
+	// TotalRun is the sum of the tasks' expected run times.
+	TotalRun time.Duration
+	// WaitingTasks is the number of the contract's tasks that wait here, QueueWait the
 	// time that the job is expected to wait for slots.
-	Waiting   int
+	WaitingTasks   int
 	QueueWait time.Duration
 	// Entries is the number of entries.
 	Entries int
@@ -245,29 +245,29 @@
 		return &Refusal{Code: jobs.CodeUnknownContract, Message: "no contract " + r.Contract}
 	}
 	c := &u.contract
-	if c.MemoryBytes < r.MemoryBytes {
+	if c.MemoryBytes < r.MaxTaskMemory {
 		return &Refusal{Code: jobs.CodeDoesNotFit, Message: "a task needs more memory than the contract has"}
 	}
-	if r.LargestMemory < r.MemoryBytes {
+	if r.MaxWorkerMemory < r.MaxTaskMemory {
 		return &Refusal{Code: jobs.CodeDoesNotFit, Message: "a task needs more memory than any worker has"}
 	}
 	if c.Rate <= 0 || c.Concurrency == 0 {
 		return &Refusal{Code: jobs.CodeRateLimited, Message: "the contract allows no tasks"}
 	}
-	if r.Left > 0 && r.Left <= r.MinRun {
+	if r.TimeLeft > 0 && r.TimeLeft <= r.MinRun {
 		return &Refusal{Code: jobs.CodeDeadline, Message: fmt.Sprintf("the deadline is shorter than the least run time, %v", r.MinRun)}
 	}
 	limitWait := u.estimateWait(r, now)
-	if r.Tasks > int(c.Waiting) || (r.Waiting > 0 && r.Waiting+r.Tasks > u.waitingLimit(r.Entries)) {
+	if r.Tasks > int(c.MaxWaiting) || (r.WaitingTasks > 0 && r.WaitingTasks+r.Tasks > u.waitingLimit(r.Entries)) {
 		return &Refusal{Code: jobs.CodeQueueFull, RetryAfter: max(limitWait, r.QueueWait, minRetryAfter), Message: "too many tasks of the contract wait"}
 	}
-	if r.Left <= 0 {
+	if r.TimeLeft <= 0 {
 		return nil
 	}
-	if overrun := limitWait + r.LikelyRun - r.Left; limitWait > 0 && overrun >= 0 {
+	if overrun := limitWait + r.LikelyRun - r.TimeLeft; limitWait > 0 && overrun >= 0 {
 		return &Refusal{Code: jobs.CodeRateLimited, RetryAfter: max(overrun, minRetryAfter), Message: "at the contract's limits the deadline can't be met"}
 	}
-	if overrun := r.QueueWait + r.LikelyRun - r.Left; r.QueueWait > 0 && overrun >= 0 {
+	if overrun := r.QueueWait + r.LikelyRun - r.TimeLeft; r.QueueWait > 0 && overrun >= 0 {
 		return &Refusal{Code: jobs.CodeOverloaded, RetryAfter: max(overrun, minRetryAfter), Message: "the deadline can't be met at the present load"}
 	}
 	return nil
@@ -278,18 +278,18 @@
 // has just started holds no share yet. Admit applies it only if other tasks wait.
 func (u *usage) waitingLimit(entries int) int {
 	even := 1 / float64(max(entries, 1))
-	return int(math.Ceil(float64(u.contract.Waiting) * max(u.fraction(), even)))
+	return int(math.Ceil(float64(u.contract.MaxWaiting) * max(u.fraction(), even)))
 }
 
 // estimateWait estimates how long the contract's own limits delay the job's last task.
 func (u *usage) estimateWait(r Request, now time.Time) time.Duration {
-	tasks := float64(r.Waiting + r.Tasks)
+	tasks := float64(r.WaitingTasks + r.Tasks)
 	var byRate, bySlots float64
 	if limit := float64(u.bucket.Limit()); limit > 0 {
 		byRate = max(tasks-u.bucket.TokensAt(now), 0) / limit
 	}
 	if slots := float64(u.concurrency()); slots > 0 {
-		bySlots = max(tasks+float64(u.running)-slots, 0) / slots * r.Work.Seconds() / float64(r.Tasks)
+		bySlots = max(tasks+float64(u.running)-slots, 0) / slots * r.TotalRun.Seconds() / float64(r.Tasks)
 	}
 	return time.Duration(max(byRate, bySlots) * float64(time.Second))
 }
--- a/dispatch/limit/shared.go
+++ b/dispatch/limit/shared.go
@@ -18,8 +18,8 @@
 	Queue
 )
 
-// SharedOptions configures shared slots.
-type SharedOptions struct {
+// SharedSlotsOptions configures shared slots.
+type SharedSlotsOptions struct {
 	// Slots is the number of slots of the endpoint.
 	Slots int
 	// MaxQueued limits the units of each entry that wait for a slot; a single task
@@ -27,14 +27,14 @@
 	MaxQueued int
 }
 
-// Shared offers every slot of one endpoint to each entry linked to it, so that no
+// SharedSlots offers every slot of one endpoint to each entry linked to it, so that no
 // credit ever moves between entries. Entries choose agents by the free slots that
 // each frame reports. When two entries choose the same slot at once, one of the tasks
 // waits at the agent for a moment. Under overload each entry keeps about one task
 // waiting at each agent, so that a slot goes to the most urgent task of all entries
-// and not to the entry that used it last. Use [NewShared].
-type Shared struct {
-	options SharedOptions
+// and not to the entry that used it last. Use [NewSharedSlots].
+type SharedSlots struct {
+	options SharedSlotsOptions
 	running int
 	queued  int
 	entries map[string]*slotUser
@@ -51,13 +51,13 @@
 	queued int
 }
 
-// NewShared returns shared slots, all of them free.
-func NewShared(options SharedOptions) *Shared {
-	return &Shared{options: options, entries: make(map[string]*slotUser)}
+// NewSharedSlots returns shared slots, all of them free.
+func NewSharedSlots(options SharedSlotsOptions) *SharedSlots {
+	return &SharedSlots{options: options, entries: make(map[string]*slotUser)}
 }
 
 // Link adds an entry, or resets the credits of one whose link was replaced.
-func (s *Shared) Link(entry string, _ time.Time) {
+func (s *SharedSlots) Link(entry string, _ time.Time) {
 	h := s.entries[entry]
 	if h == nil {
 		h = &slotUser{entry: entry}
@@ -69,7 +69,7 @@
 }
 
 // Unlink removes an entry and its credits. Its running and queued tasks continue.
-func (s *Shared) Unlink(entry string) {
+func (s *SharedSlots) Unlink(entry string) {
 	h := s.entries[entry]
 	if h == nil {
 		return
@@ -79,21 +79,21 @@
 }
 
 // SetWant does nothing: no entry holds slots that another one wants.
-func (s *Shared) SetWant(string, int) {}
+func (s *SharedSlots) SetWant(string, int) {}
 
 // Returned removes credits that an entry returned.
-func (s *Shared) Returned(entry string, n int) { s.Unused(entry, n) }
+func (s *SharedSlots) Returned(entry string, n int) { s.Unused(entry, n) }
 
 // Unused removes the credits that an entry spent on a start that needs no slot
 // because it was refused or is a duplicate.
-func (s *Shared) Unused(entry string, units int) {
+func (s *SharedSlots) Unused(entry string, units int) {
 	if h := s.entries[entry]; h != nil {
 		h.granted = max(h.granted-units, 0)
 	}
 }
 
 // Start decides on an entry's start and reserves its units unless it is refused.
-func (s *Shared) Start(entry string, units int) Verdict {
+func (s *SharedSlots) Start(entry string, units int) Verdict {
 	h := s.entries[entry]
 	if h == nil || units > s.options.Slots {
 		return Refuse
@@ -117,7 +117,7 @@
 
 // Dequeue counts queued units as running. It returns false if too few slots are
 // free.
-func (s *Shared) Dequeue(entry string, units int) bool {
+func (s *SharedSlots) Dequeue(entry string, units int) bool {
 	if s.running+units > s.options.Slots {
 		return false
 	}
@@ -127,12 +127,12 @@
 }
 
 // Cancel removes units from the queue. The entry may be unlinked already.
-func (s *Shared) Cancel(entry string, units int) {
+func (s *SharedSlots) Cancel(entry string, units int) {
 	s.removeQueued(entry, units)
 	s.removeUsing(entry, units)
 }
 
-func (s *Shared) removeQueued(entry string, units int) {
+func (s *SharedSlots) removeQueued(entry string, units int) {
 	s.queued -= units
 	if h := s.entries[entry]; h != nil {
 		h.queued = max(h.queued-units, 0)
@@ -140,7 +140,7 @@
 }
 
 // Queued returns the number of an entry's waiting units.
-func (s *Shared) Queued(entry string) int {
+func (s *SharedSlots) Queued(entry string) int {
 	if h := s.entries[entry]; h != nil {
 		return h.queued
 	}
@@ -148,12 +148,12 @@
 }
 
 // End frees the slots of a task that ended. The entry may be unlinked already.
-func (s *Shared) End(entry string, units int) {
+func (s *SharedSlots) End(entry string, units int) {
 	s.running -= units
 	s.removeUsing(entry, units)
 }
 
-func (s *Shared) removeUsing(entry string, units int) {
+func (s *SharedSlots) removeUsing(entry string, units int) {
 	if h := s.entries[entry]; h != nil {
 		h.using = max(h.using-units, 0)
 	}
@@ -161,7 +161,7 @@
 
 // Sticky grants an entry the credits again that a task has used and returns their
 // number; they are sent in the same frame as the task's result.
-func (s *Shared) Sticky(entry string, units int) int {
+func (s *SharedSlots) Sticky(entry string, units int) int {
 	h := s.entries[entry]
 	if h == nil {
 		return 0
@@ -173,7 +173,7 @@
 
 // Balance tops up each entry's credits so that they cover all slots, and appends the
 // grants to changes.
-func (s *Shared) Balance(_ time.Time, changes []Grant) []Grant {
+func (s *SharedSlots) Balance(_ time.Time, changes []Grant) []Grant {
 	for _, h := range s.order {
 		if n := s.Sticky(h.entry, s.options.Slots); n > 0 {
 			changes = append(changes, Grant{Entry: h.entry, Granted: n})
@@ -183,8 +183,8 @@
 }
 
 // RecallAt returns zero: nothing is recalled.
-func (s *Shared) RecallAt() time.Time { return time.Time{} }
+func (s *SharedSlots) RecallAt() time.Time { return time.Time{} }
 
 // Free returns the number of slots that run no task, minus the units that wait for
 // one. It is negative when more units wait than slots are free.
-func (s *Shared) Free() int { return s.options.Slots - s.running - s.queued }
+func (s *SharedSlots) Free() int { return s.options.Slots - s.running - s.queued }
--- a/dispatch/limit/shares.go
+++ b/dispatch/limit/shares.go
@@ -18,17 +18,17 @@
 	return cmp.Or(cmp.Compare(p.Number, o.Number), cmp.Compare(p.Allocator, o.Allocator))
 }
 
-// Parts maps a contract to a number of slots of its concurrency, mostly the share
+// SlotsByContract maps a contract to a number of slots of its concurrency, mostly the share
 // that an entry holds. The contract's other limits are divided in proportion.
-type Parts map[string]uint32
+type SlotsByContract map[string]uint32
 
 // Plan divides each contract's concurrency between entries.
 type Plan struct {
 	ID PlanID
 	// Total is the concurrency of each contract that the plan divides.
-	Total Parts
+	Total SlotsByContract
 	// Entries maps an entry's incarnation to its shares.
-	Entries map[string]Parts
+	Entries map[string]SlotsByContract
 }
 
 // ShareState is the state that an entry advertises to the others.
@@ -37,10 +37,10 @@
 	Adopted PlanID
 	// Held is the most that the entry may use until it adopts another plan, or
 	// what it still uses if that is more.
-	Held Parts
+	Held SlotsByContract
 	// Demand is the number of slots that the entry could use: one for each running
 	// or waiting task.
-	Demand Parts
+	Demand SlotsByContract
 	// Plan is the plan that the entry adopted, nil if the receiver has it.
 	Plan *Plan
 }
@@ -67,11 +67,11 @@
 // Use [NewShares].
 type Shares struct {
 	self    string
-	totals  Parts
+	totals  SlotsByContract
 	members map[string]*ShareState
 	plan    Plan
-	held    Parts
-	demand  Parts
+	held    SlotsByContract
+	demand  SlotsByContract
 	fenced  bool
 	// unconfirmed maps members known only from a plan to the time since when.
 	unconfirmed map[string]time.Time
@@ -90,10 +90,10 @@
 func NewShares(self string) *Shares {
 	return &Shares{
 		self:        self,
-		totals:      Parts{},
+		totals:      SlotsByContract{},
 		members:     map[string]*ShareState{self: {Entry: self}},
-		held:        Parts{},
-		demand:      Parts{},
+		held:        SlotsByContract{},
+		demand:      SlotsByContract{},
 		unconfirmed: map[string]time.Time{},
 	}
 }
@@ -117,8 +117,8 @@
 	}
 }
 
-// Gone removes an entry that is proven to start no more tasks.
-func (s *Shares) Gone(entry string) {
+// RemoveMember removes an entry that is proven to start no more tasks.
+func (s *Shares) RemoveMember(entry string) {
 	if entry != s.self {
 		delete(s.members, entry)
 		delete(s.unconfirmed, entry)
@@ -134,7 +134,7 @@
 func (s *Shares) expireUnconfirmed(now time.Time) {
 	for entry, since := range s.unconfirmed {
 		if now.Sub(since) >= unconfirmedTTL {
-			s.Gone(entry)
+			s.RemoveMember(entry)
 		}
 	}
 }
@@ -146,8 +146,8 @@
 // SetDemand sets how many slots of a contract this entry could use.
 func (s *Shares) SetDemand(contract string, slots uint32) { s.demand[contract] = slots }
 
-// Part returns this entry's share of a contract as a fraction: slots out of total.
-func (s *Shares) Part(contract string) (slots, total uint32) {
+// Share returns this entry's share of a contract as a fraction: slots out of total.
+func (s *Shares) Share(contract string) (slots, total uint32) {
 	total = s.totals[contract]
 	planned := s.plan.Total[contract]
 	if s.fenced || planned == 0 || total == 0 {
@@ -158,9 +158,9 @@
 	return uint32(uint64(s.held[contract]) * uint64(total) / uint64(planned)), total
 }
 
-// Promised reports whether the plan grants this entry more slots than it may use yet
+// IncreasePending reports whether the plan grants this entry more slots than it may use yet
 // of some contract for which it has demand beyond its share.
-func (s *Shares) Promised() bool {
+func (s *Shares) IncreasePending() bool {
 	for contract, slots := range s.plan.Entries[s.self] {
 		if slots > s.held[contract] && s.demand[contract] > s.held[contract] {
 			return true
@@ -176,7 +176,7 @@
 	state := ShareState{
 		Entry:   s.self,
 		Adopted: s.plan.ID,
-		Held:    make(Parts, len(s.held)),
+		Held:    make(SlotsByContract, len(s.held)),
 		Demand:  maps.Clone(s.demand),
 	}
 	for contract, slots := range s.held {
@@ -234,9 +234,9 @@
 	if s.ticks >= rotateTicks && s.starvesMember() {
 		s.rotation++
 	}
-	target := make(map[string]Parts, len(names))
+	target := make(map[string]SlotsByContract, len(names))
 	for _, name := range names {
-		target[name] = Parts{}
+		target[name] = SlotsByContract{}
 	}
 	for _, contract := range slices.Sorted(maps.Keys(s.totals)) {
 		s.divide(contract, names, target)
@@ -256,7 +256,7 @@
 // slots divided by it. Smaller changes are not worth the messages.
 const replanDivisor = 16
 
-func (s *Shares) needsReplan(target map[string]Parts) bool {
+func (s *Shares) needsReplan(target map[string]SlotsByContract) bool {
 	if !maps.Equal(s.plan.Total, s.totals) {
 		return true
 	}
@@ -290,7 +290,7 @@
 
 // divide splits one contract: a floor for each entry, then the slots that each
 // demands, lowest demand first, then the rest evenly.
-func (s *Shares) divide(contract string, names []string, target map[string]Parts) {
+func (s *Shares) divide(contract string, names []string, target map[string]SlotsByContract) {
 	total := s.totals[contract]
 	n := uint32(len(names))
 	remaining := total
@@ -335,7 +335,7 @@
 	for name := range s.unconfirmed {
 		if plan.Entries[name] == nil && plan.ID.Allocator == s.plan.ID.Allocator {
 			// The allocator that named the entry now has proof that it is gone.
-			s.Gone(name)
+			s.RemoveMember(name)
 		}
 	}
 	s.plan = plan
