--- a/dispatch/gossip/gossip.go
+++ b/dispatch/gossip/gossip.go
@@ -86,18 +86,18 @@
 	return v
 }
 
-// Living returns the addresses of the entries that are alive, including this one, in
+// Alive returns the addresses of the entries that are alive, including this one, in
 // sorted order. The slice is never modified; a change replaces it.
-func (v *View) Living() []string { return v.alive }
+func (v *View) Alive() []string { return v.alive }
 
 // Digest returns a hash of the records of the entries that are alive.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Changes returns a number that grows whenever Living or the partners change.
-func (v *View) Changes() uint64 { return v.changes }
+// Version returns a number that grows whenever Living or the partners change.
+func (v *View) Version() uint64 { return v.changes }
 
-// Lives reports whether the entry at an address is alive.
-func (v *View) Lives(address string) bool {
+// IsAlive reports whether the entry at an address is alive.
+func (v *View) IsAlive(address string) bool {
 	m := v.members[address]
 	return address == v.self.Address || m != nil && !m.Lost
 }
@@ -108,17 +108,17 @@
 	return candidate || v.members[address] != nil || slices.Contains(v.seeds, address)
 }
 
-// Partner reports whether this entry exchanges with the one at an address: a partner, or
+// IsPartner reports whether this entry exchanges with the one at an address: a partner, or
 // a known address at which no entry is known to be alive.
-func (v *View) Partner(address string) bool {
-	if v.Lives(address) {
+func (v *View) IsPartner(address string) bool {
+	if v.IsAlive(address) {
 		return v.partners[address]
 	}
 	return v.Known(address)
 }
 
-// Partners returns the number of alive entries with which this one exchanges.
-func (v *View) Partners() int { return len(v.partners) }
+// PartnerCount returns the number of alive entries with which this one exchanges.
+func (v *View) PartnerCount() int { return len(v.partners) }
 
 // Records returns the records of all entries, this one first.
 func (v *View) Records() []Record {
@@ -129,18 +129,18 @@
 	return out
 }
 
-// Learn adds addresses that were discovered by other means, to be tried.
-func (v *View) Learn(now time.Time, addresses []string) {
+// AddCandidates adds addresses that were discovered by other means, to be tried.
+func (v *View) AddCandidates(now time.Time, addresses []string) {
 	for _, a := range addresses {
-		if a == "" || a == v.self.Address || v.Lives(a) {
+		if a == "" || a == v.self.Address || v.IsAlive(a) {
 			continue
 		}
 		v.candidates[a] = now
 	}
 }
 
-// Heard records direct contact: an entry has sent a request or an answer.
-func (v *View) Heard(now time.Time, address string) {
+// RecordContact records direct contact: an entry has sent a request or an answer.
+func (v *View) RecordContact(now time.Time, address string) {
 	if address == "" || address == v.self.Address {
 		return
 	}
--- a/dispatch/gossip/gossip_test.go
+++ b/dispatch/gossip/gossip_test.go
@@ -56,7 +56,7 @@
 			for j := range f.views {
 				// The lower of two entries initiates the exchange, or the higher one if
 				// it is not a partner of the lower.
-				if j != i && v.Partner(address(j)) && (j > i || !f.views[j].Partner(address(i))) && (f.ticks+7*i+3*j)%exchangeTicks == 0 {
+				if j != i && v.IsPartner(address(j)) && (j > i || !f.views[j].IsPartner(address(i))) && (f.ticks+7*i+3*j)%exchangeTicks == 0 {
 					f.exchange(i, j)
 				}
 			}
@@ -71,8 +71,8 @@
 	}
 	f.calls[j]++
 	a, b := f.views[i], f.views[j]
-	a.Heard(f.now, address(j))
-	b.Heard(f.now, address(i))
+	a.RecordContact(f.now, address(j))
+	b.RecordContact(f.now, address(i))
 	if a.Digest() != b.Digest() {
 		mine, theirs := a.Records(), b.Records()
 		f.records += len(mine) + len(theirs)
@@ -85,7 +85,7 @@
 func (f *fleet) agreeing() int {
 	n := 0
 	for i, v := range f.views {
-		if !f.down[i] && len(v.Living()) == len(f.views)-len(f.down) {
+		if !f.down[i] && len(v.Alive()) == len(f.views)-len(f.down) {
 			n++
 		}
 	}
@@ -144,10 +144,10 @@
 func TestPausedEntryMarksNoneLost(t *testing.T) {
 	f := newFleet(t, 30)
 	f.advance(8 * time.Second)
-	v, before := f.views[4], len(f.views[4].Living())
+	v, before := f.views[4], len(f.views[4].Alive())
 	f.now = f.now.Add(10 * time.Second)
 	v.Tick(f.now)
-	if got := len(v.Living()); got != before {
+	if got := len(v.Alive()); got != before {
 		t.Errorf("%d of %d entries are alive after a pause", got, before)
 	}
 }
@@ -208,7 +208,7 @@
 	with := func(addresses ...string) uint64 {
 		v := New("self", 1, nil)
 		for _, a := range addresses {
-			v.Heard(time.Unix(1000, 0), a)
+			v.RecordContact(time.Unix(1000, 0), a)
 		}
 		return v.Digest()
 	}
--- a/node/dispatcher/exchange.go
+++ b/node/dispatcher/exchange.go
@@ -86,10 +86,10 @@
 func (p *peers) nextExchange(x *peer) (period, wait time.Duration, partner bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.view.Partner(x.address) {
+	if !p.view.IsPartner(x.address) {
 		return 0, 0, false
 	}
-	period = exchangePeriod(p.view.Partners())
+	period = exchangePeriod(p.view.PartnerCount())
 	if x.lastReceived.IsZero() {
 		return period, 0, true
 	}
@@ -180,15 +180,15 @@
 
 func (p *peers) received(x *peer, s peerState) {
 	p.updateView(func(now time.Time) {
-		if !p.view.Lives(x.address) || x.incarnation != s.incarnation {
+		if !p.view.IsAlive(x.address) || x.incarnation != s.incarnation {
 			p.d.opts.Logger.Info("entry_found", "entry", x.address, "incarnation", s.incarnation, "version", s.version)
 		}
 		x.incarnation, x.lastReceived, x.digest = s.incarnation, now, s.digest
 		x.version, x.evacuations = s.version, s.evacuations
-		p.view.Heard(now, x.address)
+		p.view.RecordContact(now, x.address)
 		if len(s.records) == 0 {
 			// An entry of an earlier version sends addresses only.
-			p.view.Learn(now, s.entries)
+			p.view.AddCandidates(now, s.entries)
 			for _, a := range s.entries {
 				p.addPeer(a)
 			}
@@ -276,7 +276,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, x := range p.all {
-		if p.view.Partner(x.address) && chosen(x) {
+		if p.view.IsPartner(x.address) && chosen(x) {
 			x.signal()
 		}
 	}
--- a/node/dispatcher/peers.go
+++ b/node/dispatcher/peers.go
@@ -95,11 +95,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(clock.Now())
-	if p.viewVersion == p.view.Changes() {
+	if p.viewVersion == p.view.Version() {
 		return
 	}
-	p.viewVersion = p.view.Changes()
-	for _, a := range p.view.Living() {
+	p.viewVersion = p.view.Version()
+	for _, a := range p.view.Alive() {
 		p.addPeer(a)
 	}
 	for _, x := range p.all {
@@ -128,12 +128,12 @@
 func (p *peers) alive() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Living()
+	return p.view.Alive()
 }
 
 func (p *peers) addCandidates(addresses []string) {
 	p.updateView(func(now time.Time) {
-		p.view.Learn(now, addresses)
+		p.view.AddCandidates(now, addresses)
 		for _, a := range addresses {
 			p.addPeer(a)
 		}
@@ -184,7 +184,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*peer
-	for _, a := range p.view.Living() {
+	for _, a := range p.view.Alive() {
 		if x := p.all[a]; x != nil {
 			out = append(out, x)
 		}
@@ -212,7 +212,7 @@
 func (p *peers) isPartner(x *peer) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Partner(x.address)
+	return p.view.IsPartner(x.address)
 }
 
 // cancel asks all other live entries to cancel a job.
