--- a/cmd/internal/site/store.go
+++ b/cmd/internal/site/store.go
@@ -51,7 +51,7 @@
 		c = proto.CloneOf(c)
 		c.Revision = 0
 		_, err := editor.Apply(context.Background(), contract.Change{
-			Contract: c, ID: "site-" + c.Name, By: "site", At: time.Now(),
+			Contract: c, ID: "site-" + c.Name, Author: "site", At: time.Now(),
 		})
 		if err != nil {
 			return ErrSite.Wrap(err, "contract %s", c.Name)
--- a/cmd/papayahoist/contract_change.go
+++ b/cmd/papayahoist/contract_change.go
@@ -34,7 +34,7 @@
 
 func (c *contractCommand) change(wanted *pb.Contract, rebase bool) error {
 	revision, err := c.editor().Apply(c.env.Context, contract.Change{
-		Contract: wanted, ID: c.newChangeID(), By: c.by, At: time.Now(), Rebase: rebase,
+		Contract: wanted, ID: c.newChangeID(), Author: c.by, At: time.Now(), Rebase: rebase,
 	})
 	return c.report(wanted.Name, revision, err)
 }
--- a/dispatch/contract/change.go
+++ b/dispatch/contract/change.go
@@ -14,8 +14,8 @@
 	// Contract is the desired state. Its revision is the one on which the change is
 	// based; zero creates the contract.
 	Contract *pb.Contract
-	// ID identifies the change, By its author for human readers.
-	ID, By string
+	// ID identifies the change, Author its author for human readers.
+	ID, Author string
 	At     time.Time
 	// Rebase permits merging the change with others made since its base revision.
 	Rebase bool
@@ -23,19 +23,19 @@
 
 // Plan is the write that a change requires.
 type Plan struct {
-	// Applied is the revision that the change made if it is in the store already,
+	// AppliedRevision is the revision that the change made if it is in the store already,
 	// or zero if Record has yet to be written.
-	Applied uint64
+	AppliedRevision uint64
 	// Record is to be written by compare-and-swap on revision Prev.
 	Record *pb.ContractRecord
-	Prev   uint64
+	PrevRevision   uint64
 }
 
-// Make plans the write that applies a change to the stored record, nil if there is
+// PlanChange plans the write that applies a change to the stored record, nil if there is
 // none. It fails with ErrInvalid or ErrConflict.
-func Make(change Change, stored *pb.ContractRecord) (Plan, error) {
-	if revision := Find(stored, change.ID); revision > 0 {
-		return Plan{Applied: revision}, nil
+func PlanChange(change Change, stored *pb.ContractRecord) (Plan, error) {
+	if revision := FindChange(stored, change.ID); revision > 0 {
+		return Plan{AppliedRevision: revision}, nil
 	}
 	wanted, err := validated(change)
 	if err != nil {
@@ -46,13 +46,13 @@
 		return Plan{}, err
 	}
 	wanted.Revision = 0
-	wanted.ChangeId, wanted.ChangedBy, wanted.ChangedUnixMs = change.ID, change.By, change.At.UnixMilli()
+	wanted.ChangeId, wanted.ChangedBy, wanted.ChangedUnixMs = change.ID, change.Author, change.At.UnixMilli()
 	record := &pb.ContractRecord{Contract: wanted}
 	if current != nil {
 		record.History = append([]*pb.Contract{current}, stored.History...)
 		record.History = record.History[:min(len(record.History), MaxHistory)]
 	}
-	return Plan{Record: record, Prev: current.GetRevision()}, nil
+	return Plan{Record: record, PrevRevision: current.GetRevision()}, nil
 }
 
 // validated returns the change's contract with defaults filled in, or ErrInvalid.
@@ -60,8 +60,8 @@
 	wanted := WithDefaults(change.Contract)
 	var v validator
 	v.text("change_id", change.ID, MaxIDLength, idPattern, "of letters, digits, '.', '_' and '-'")
-	if len(change.By) == 0 || len(change.By) > MaxAuthorLength {
-		v.add("changed_by", fmt.Sprintf("%q", change.By), fmt.Sprintf("1 to %d characters", MaxAuthorLength))
+	if len(change.Author) == 0 || len(change.Author) > MaxAuthorLength {
+		v.add("changed_by", fmt.Sprintf("%q", change.Author), fmt.Sprintf("1 to %d characters", MaxAuthorLength))
 	}
 	v.fields = append(v.fields, FieldErrors(Validate(wanted))...)
 	return wanted, v.result()
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// Find returns the revision that a change made, zero if the record does not contain the
+// FindChange returns the revision that a change made, zero if the record does not contain the
 // change.
-func Find(stored *pb.ContractRecord, changeID string) uint64 {
+func FindChange(stored *pb.ContractRecord, changeID string) uint64 {
 	for _, c := range append([]*pb.Contract{stored.GetContract()}, stored.GetHistory()...) {
 		if c != nil && changeID != "" && c.ChangeId == changeID {
 			return c.Revision
@@ -133,9 +133,9 @@
 type Resolution int
 
 const (
-	// NotKnown means that neither can be proven: the write may still take effect,
+	// Unknown means that neither can be proven: the write may still take effect,
 	// or its revision is no longer in the history.
-	NotKnown Resolution = iota
+	Unknown Resolution = iota
 	// Applied means that the change was made.
 	Applied
 	// NotApplied means that the change was not made and can no longer be made.
@@ -158,18 +158,18 @@
 // or else the current one. While the record is at prev, the write may still be in
 // flight; once the record has another revision, the write can no longer succeed.
 func Resolve(stored *pb.ContractRecord, changeID string, prev uint64) (Resolution, uint64) {
-	if revision := Find(stored, changeID); revision > 0 {
+	if revision := FindChange(stored, changeID); revision > 0 {
 		return Applied, revision
 	}
 	current := stored.GetContract().GetRevision()
 	if current == prev {
-		return NotKnown, current
+		return Unknown, current
 	}
 	complete := len(stored.GetHistory()) < MaxHistory || atRevision(stored, prev) != nil
 	if current > prev && complete {
 		return NotApplied, current
 	}
-	return NotKnown, current
+	return Unknown, current
 }
 
 // Rollback returns the contract that restores the terms of an earlier revision, based on
--- a/dispatch/contract/contract_test.go
+++ b/dispatch/contract/contract_test.go
@@ -117,8 +117,8 @@
 // applyChange returns the record after a change, written at the given revision.
 func applyChange(t *testing.T, stored *pb.ContractRecord, change Change, revision uint64) *pb.ContractRecord {
 	t.Helper()
-	plan, err := Make(change, stored)
-	if err != nil || plan.Applied != 0 || plan.Prev != stored.GetContract().GetRevision() {
+	plan, err := PlanChange(change, stored)
+	if err != nil || plan.AppliedRevision != 0 || plan.PrevRevision != stored.GetContract().GetRevision() {
 		t.Fatalf("Make = %+v, %v", plan, err)
 	}
 	plan.Record.Contract.Revision = revision
@@ -128,7 +128,7 @@
 func newChange(id string, from uint64, edit func(*pb.Contract)) Change {
 	c := testContract(edit)
 	c.Revision = from
-	return Change{Contract: c, ID: id, By: "ann", At: time.Unix(100, 0)}
+	return Change{Contract: c, ID: id, Author: "ann", At: time.Unix(100, 0)}
 }
 
 // Two operators base changes on the same revision. The second one must not silently undo
@@ -139,7 +139,7 @@
 	second := applyChange(t, first, newChange("c2", 5, func(c *pb.Contract) { c.Concurrency = 20 }), 8)
 
 	stale := newChange("c3", 5, func(c *pb.Contract) { c.Waiting = 7 })
-	_, err := Make(stale, second)
+	_, err := PlanChange(stale, second)
 	if diff := cmp.Diff([]FieldChange{{"concurrency", "8", "20"}}, Changes(err)); diff != "" || !errorx.IsOfType(err, ErrConflict) {
 		t.Errorf("stale change: %v\n%s", err, diff)
 	}
@@ -150,18 +150,18 @@
 	}
 	conflicting := newChange("c4", 5, func(c *pb.Contract) { c.Concurrency = 30 })
 	conflicting.Rebase = true
-	if _, err := Make(conflicting, third); len(Changes(err)) != 1 || Changes(err)[0].Field != "concurrency" {
+	if _, err := PlanChange(conflicting, third); len(Changes(err)) != 1 || Changes(err)[0].Field != "concurrency" {
 		t.Errorf("conflicting change: %v", err)
 	}
 	for name, c := range map[string]Change{
 		"creation of an existing contract": newChange("c5", 0, nil),
 		"unknown revision":                 newChange("c6", 4, nil),
 	} {
-		if _, err := Make(c, third); err == nil {
+		if _, err := PlanChange(c, third); err == nil {
 			t.Errorf("%s was accepted", name)
 		}
 	}
-	if _, err := Make(newChange("c7", 3, nil), nil); err == nil {
+	if _, err := PlanChange(newChange("c7", 3, nil), nil); err == nil {
 		t.Error("a change of a nonexistent contract was accepted")
 	}
 }
@@ -186,17 +186,17 @@
 	}{
 		{"applied", applied, Applied, 6},
 		{"applied, followed by another", applyChange(t, applied, newChange("c9", 6, nil), 7), Applied, 6},
-		{"may be in flight", first, NotKnown, 5},
+		{"may be in flight", first, Unknown, 5},
 		{"another was first", superseded, NotApplied, 6},
-		{"applied, dropped from the history", appliedDropped, NotKnown, 10 + MaxHistory},
-		{"not applied, dropped from the history", supersededDropped, NotKnown, 10 + MaxHistory},
+		{"applied, dropped from the history", appliedDropped, Unknown, 10 + MaxHistory},
+		{"not applied, dropped from the history", supersededDropped, Unknown, 10 + MaxHistory},
 	}
 	for _, tt := range tests {
 		if got, at := Resolve(tt.stored, "mine", 5); got != tt.want || at != tt.at {
 			t.Errorf("%s: %v at %d, want %v at %d", tt.name, got, at, tt.want, tt.at)
 		}
 	}
-	if plan, err := Make(mine, applied); err != nil || plan.Applied != 6 {
+	if plan, err := PlanChange(mine, applied); err != nil || plan.AppliedRevision != 6 {
 		t.Errorf("repeated change: %+v, %v", plan, err)
 	}
 }
@@ -209,7 +209,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	record = applyChange(t, record, Change{Contract: back, ID: "c4", By: "bob", At: time.Unix(200, 0)}, 8)
+	record = applyChange(t, record, Change{Contract: back, ID: "c4", Author: "bob", At: time.Unix(200, 0)}, 8)
 	if c := record.Contract; c.Weight != 9 || c.Deleted || c.ChangedBy != "bob" || len(record.History) != 3 {
 		t.Errorf("record = %v", record)
 	}
@@ -249,12 +249,12 @@
 			}
 		}
 		for name, revision := range highest {
-			if got := r.Snapshot().Held(name).Revision; got != revision {
+			if got := r.Snapshot().Latest(name).Revision; got != revision {
 				t.Fatalf("%s is at revision %d, want %d", name, got, revision)
 			}
 		}
-		if r.Snapshot().Covered() != covered {
-			t.Fatalf("complete up to %d, want %d", r.Snapshot().Covered(), covered)
+		if r.Snapshot().CompleteUpTo() != covered {
+			t.Fatalf("complete up to %d, want %d", r.Snapshot().CompleteUpTo(), covered)
 		}
 	})
 }
@@ -279,7 +279,7 @@
 				name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name")
 				source.Apply([]*pb.Contract{{Name: name, Revision: revision}}, revision-1, revision)
 			case "send":
-				since := replica.Snapshot().Covered()
+				since := replica.Snapshot().CompleteUpTo()
 				if rapid.Bool().Draw(t, "ahead") {
 					since += rapid.Uint64Range(0, 9).Draw(t, "by")
 				}
@@ -297,9 +297,9 @@
 				replica = NewRegistry()
 			}
 			for _, c := range source.Snapshot().All() {
-				stored := replica.Snapshot().Held(c.Name).GetRevision()
-				if c.Revision <= replica.Snapshot().Covered() && stored != c.Revision {
-					t.Fatalf("complete up to %d, but %s is at %d instead of %d", replica.Snapshot().Covered(), c.Name, stored, c.Revision)
+				stored := replica.Snapshot().Latest(c.Name).GetRevision()
+				if c.Revision <= replica.Snapshot().CompleteUpTo() && stored != c.Revision {
+					t.Fatalf("complete up to %d, but %s is at %d instead of %d", replica.Snapshot().CompleteUpTo(), c.Name, stored, c.Revision)
 				}
 			}
 		}
--- a/dispatch/contract/registry.go
+++ b/dispatch/contract/registry.go
@@ -24,14 +24,14 @@
 	return c
 }
 
-// Held returns the contract or tombstone that is held for a name, nil if there is none.
-func (s *Snapshot) Held(name string) *pb.Contract { return s.byName[name] }
+// Latest returns the contract or tombstone that is held for a name, nil if there is none.
+func (s *Snapshot) Latest(name string) *pb.Contract { return s.byName[name] }
 
 // Len returns the number of contracts held, including tombstones.
 func (s *Snapshot) Len() int { return len(s.byName) }
 
-// Covered returns the revision up to which no change of any contract is missing.
-func (s *Snapshot) Covered() uint64 { return s.completeUpTo }
+// CompleteUpTo returns the revision up to which no change of any contract is missing.
+func (s *Snapshot) CompleteUpTo() uint64 { return s.completeUpTo }
 
 // All returns the contracts in force, sorted by name.
 func (s *Snapshot) All() []*pb.Contract {
--- a/node/config/editor.go
+++ b/node/config/editor.go
@@ -88,9 +88,9 @@
 			return 0, newNotKnown(*p, nil)
 		}
 	}
-	plan, err := contract.Make(a.change, stored)
-	if err != nil || plan.Applied > 0 {
-		return plan.Applied, err
+	plan, err := contract.PlanChange(a.change, stored)
+	if err != nil || plan.AppliedRevision > 0 {
+		return plan.AppliedRevision, err
 	}
 	return a.write(ctx, plan)
 }
@@ -101,9 +101,9 @@
 	if err != nil {
 		return 0, err
 	}
-	revision, err := a.editor.store.CompareAndSwap(ctx, contract.Key(name), store.Revision(plan.Prev), value, 0)
+	revision, err := a.editor.store.CompareAndSwap(ctx, contract.Key(name), store.Revision(plan.PrevRevision), value, 0)
 	if store.IsUnknown(err) {
-		a.pending = &Pending{Contract: name, ChangeID: a.change.ID, Prev: plan.Prev}
+		a.pending = &Pending{Contract: name, ChangeID: a.change.ID, Prev: plan.PrevRevision}
 	}
 	return uint64(revision), err
 }
@@ -232,7 +232,7 @@
 	if err != nil {
 		return 0, translateError(err)
 	}
-	if applied := contract.Find(stored, id); applied > 0 {
+	if applied := contract.FindChange(stored, id); applied > 0 {
 		return applied, nil
 	}
 	if stored == nil {
@@ -242,7 +242,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return e.Apply(ctx, contract.Change{Contract: wanted, ID: id, By: by, At: at})
+	return e.Apply(ctx, contract.Change{Contract: wanted, ID: id, Author: by, At: at})
 }
 
 // Resolve determines the outcome of a pending change. The result
@@ -251,7 +251,7 @@
 func (e *Editor) Resolve(ctx context.Context, p Pending) (contract.Resolution, uint64, error) {
 	stored, err := e.record(ctx, p.Contract)
 	if err != nil {
-		return contract.NotKnown, 0, translateError(err)
+		return contract.Unknown, 0, translateError(err)
 	}
 	resolution, revision := contract.Resolve(stored, p.ChangeID, p.Prev)
 	return resolution, revision, nil
--- a/node/config/editor_test.go
+++ b/node/config/editor_test.go
@@ -26,7 +26,7 @@
 func change(id string, from uint64, weight uint32) contract.Change {
 	return contract.Change{
 		Contract: &pb.Contract{Name: "desk", Revision: from, Rate: 5, Concurrency: 4, Waiting: 10, MemoryBytes: 1 << 30, Weight: weight},
-		ID:       id, By: "ann", At: time.Unix(100, 0),
+		ID:       id, Author: "ann", At: time.Unix(100, 0),
 	}
 }
 
--- a/node/membership/exchange.go
+++ b/node/membership/exchange.go
@@ -110,14 +110,14 @@
 // contracts to send.
 func (m *Membership) exchange(ctx context.Context, a member.ExchangeRequest) {
 	for {
-		before := m.opts.Config.Snapshot().Covered()
+		before := m.opts.Config.Snapshot().CompleteUpTo()
 		state, err := m.exchangeOnce(ctx, a)
 		if err != nil {
 			m.update(func(now time.Time, s *member.Set) { s.ExchangeFailed(now, a.Incarnation) })
 			return
 		}
 		m.applyState(a.Incarnation, state)
-		if len(state.Contracts) < maxContractsPerMessage || m.opts.Config.Snapshot().Covered() <= before {
+		if len(state.Contracts) < maxContractsPerMessage || m.opts.Config.Snapshot().CompleteUpTo() <= before {
 			return
 		}
 		a.ConfigRevision = state.ConfigRevision
@@ -129,7 +129,7 @@
 // Such an entry is sent no contracts until its answer shows which it lacks.
 func (m *Membership) request(a member.ExchangeRequest) *pb.PeerState {
 	covered := a.ConfigRevision
-	covered = cmp.Or(covered, m.opts.Config.Snapshot().Covered())
+	covered = cmp.Or(covered, m.opts.Config.Snapshot().CompleteUpTo())
 	return m.stateFor(a.Incarnation, covered)
 }
 
--- a/node/membership/membership_test.go
+++ b/node/membership/membership_test.go
@@ -205,7 +205,7 @@
 // inForce reports whether all live entries hold at least that revision of a contract.
 func (c *cluster) inForce(name string, revision uint64) bool {
 	for _, n := range c.live() {
-		if n.config.Snapshot().Held(name).GetRevision() < revision {
+		if n.config.Snapshot().Latest(name).GetRevision() < revision {
 			return false
 		}
 	}
@@ -216,7 +216,7 @@
 	c.t.Helper()
 	revision, err := config.NewEditor(c.client(c.random), config.EditorOptions{Random: c.random}).Apply(context.Background(), contract.Change{
 		Contract: &pb.Contract{Name: name, Revision: from, Rate: 5, Concurrency: 4, Waiting: 10, MemoryBytes: 1 << 30, Weight: weight},
-		ID:       id, By: "ann", At: time.Now(),
+		ID:       id, Author: "ann", At: time.Now(),
 	})
 	if err != nil {
 		c.t.Fatalf("apply %s: %v", id, err)
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -134,7 +134,7 @@
 // callers would wait in vain.
 func (e *Entry) ready() error {
 	switch {
-	case e.config.Snapshot().Covered() == 0:
+	case e.config.Snapshot().CompleteUpTo() == 0:
 		return errNotReady.New("no contracts received yet")
 	case !e.membership.Discovered():
 		return errNotReady.New("other entries not discovered yet")
@@ -193,7 +193,7 @@
 		ExchangeNow: func() { e.membership.ExchangeNow() },
 		StoreError:  func() string { return e.membership.StoreError() },
 
-		ConfigRevision: func() uint64 { return e.config.Snapshot().Covered() },
+		ConfigRevision: func() uint64 { return e.config.Snapshot().CompleteUpTo() },
 		Ready:          e.ready,
 		CallersTLS:     b.tls.callers.Config(), NodesTLS: b.tls.nodes.Config(), OperatorsTLS: b.tls.operators.Config(),
 		DrainTimeout: s.DrainTimeout, Core: core, Version: b.opts.Version,
--- a/node/process/fleet_test.go
+++ b/node/process/fleet_test.go
@@ -119,7 +119,7 @@
 		edit(c)
 	}
 	editor := config.NewEditor(etcdv3.New("http://"+f.store, etcdv3.Options{}), config.EditorOptions{})
-	revision, err := editor.Apply(context.Background(), contract.Change{Contract: c, ID: id, By: "ann", At: time.Now()})
+	revision, err := editor.Apply(context.Background(), contract.Change{Contract: c, ID: id, Author: "ann", At: time.Now()})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 
 func (f *fleet) inForce(revision uint64) bool {
 	return !slices.ContainsFunc(f.entries, func(e *fleetEntry) bool {
-		return e.Config().Snapshot().Held("desk").GetRevision() < revision
+		return e.Config().Snapshot().Latest("desk").GetRevision() < revision
 	})
 }
 
@@ -248,7 +248,7 @@
 			}
 			settled := func() bool {
 				return !slices.ContainsFunc(f.entries, func(e *fleetEntry) bool {
-					return e.Config().Snapshot().Covered() < last || e.Entry.ready() != nil
+					return e.Config().Snapshot().CompleteUpTo() < last || e.Entry.ready() != nil
 				})
 			}
 			f.waitUntil("settled", settled)
--- a/node/process/process_test.go
+++ b/node/process/process_test.go
@@ -118,7 +118,7 @@
 	s.await(func() bool { return second.Links() == 1 })
 
 	terms := &pb.Contract{Name: "desk", Rate: 100, Concurrency: 8, MemoryBytes: 1 << 30, Waiting: 100}
-	_, err := editor.Apply(t.Context(), contract.Change{Contract: terms, ID: "c1", By: "test", At: time.Now()})
+	_, err := editor.Apply(t.Context(), contract.Change{Contract: terms, ID: "c1", Author: "test", At: time.Now()})
 	if err != nil {
 		t.Fatal(err)
 	}
