--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// Open returns the number of jobs without an answer.
-func (d *Dispatcher) Open() int {
+// OpenJobs returns the number of jobs without an answer.
+func (d *Dispatcher) OpenJobs() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.OpenJobs()
@@ -304,9 +304,9 @@
 // Entries returns the addresses of the entries known to be alive, including this one.
 func (d *Dispatcher) Entries() []string { return d.peers.alive() }
 
-// Leave notifies the other entries that this one shuts down after the given time. Jobs that
+// Drain notifies the other entries that this one shuts down after the given time. Jobs that
 // can't complete by then are answered shortly before.
-func (d *Dispatcher) Leave(timeout time.Duration) {
+func (d *Dispatcher) Drain(timeout time.Duration) {
 	d.peers.leave()
 	d.decide(func(now time.Time) { d.core.Drain(now, now.Add(timeout-finalAnswerTime)) })
 }
@@ -314,5 +314,5 @@
 // finalAnswerTime is the time for the last answers to be sent before the process ends.
 const finalAnswerTime = 100 * time.Millisecond
 
-// Learn adds addresses of entries that were found by other means.
-func (d *Dispatcher) Learn(addresses []string) { d.peers.addCandidates(addresses) }
+// AddEntries adds addresses of entries that were found by other means.
+func (d *Dispatcher) AddEntries(addresses []string) { d.peers.addCandidates(addresses) }
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -172,7 +172,7 @@
 	bgCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	wg.Go(func() { e.log.Run(bgCtx) })
-	go e.roster.Run(bgCtx, e.dispatcher.Learn)
+	go e.roster.Run(bgCtx, e.dispatcher.AddEntries)
 	go func() {
 		_ = follow.Run(bgCtx, e.store, adapter.OperatorPrefix, &operatorReader{entry: e}, follow.Options{MinWait: minStoreRetryWait, MaxWait: maxStoreRetryWait})
 	}()
@@ -181,7 +181,7 @@
 		ErrorLog: slog.NewLogLogger(e.log.Handler(), slog.LevelWarn),
 	}
 	e.metrics.registerGauge("papayahoist_links", "Linked agents.", func() float64 { return float64(e.dispatcher.Links()) })
-	e.metrics.registerGauge("papayahoist_open_jobs", "Admitted jobs that have not been answered yet.", func() float64 { return float64(e.dispatcher.Open()) })
+	e.metrics.registerGauge("papayahoist_open_jobs", "Admitted jobs that have not been answered yet.", func() float64 { return float64(e.dispatcher.OpenJobs()) })
 	e.metrics.registerGauge("papayahoist_configuration_version", "Version of the configuration in force.", func() float64 { return float64(e.dispatcher.Configuration().GetVersion()) })
 	e.metrics.registerGauge("papayahoist_evacuated_domains", "Number of evacuated failure domains.", func() float64 { return float64(len(e.dispatcher.Evacuations().GetDomains())) })
 	metricsServer, err := e.metrics.serve(e.opts.Settings.MetricsListen)
@@ -205,7 +205,7 @@
 	}
 	_ = readyServer.Close()
 	_ = jobsServer.Close()
-	e.logger.Info("process_stopped", "open_jobs", e.dispatcher.Open())
+	e.logger.Info("process_stopped", "open_jobs", e.dispatcher.OpenJobs())
 	cancel()
 	wg.Wait()
 	if err != nil {
@@ -224,9 +224,9 @@
 func (e *LeasedEntry) drain(jobsServer *http.Server) {
 	start := time.Now()
 	e.leaving.Store(true)
-	e.logger.Info("drain_begun", "open_jobs", e.dispatcher.Open())
+	e.logger.Info("drain_begun", "open_jobs", e.dispatcher.OpenJobs())
 	grace := e.opts.Settings.Bounds.Grace - closeReserve
-	e.dispatcher.Leave(grace)
+	e.dispatcher.Drain(grace)
 	e.roster.Leave()
 	// Each answer from now on closes its connection, so that the caller connects to
 	// another entry.
@@ -235,7 +235,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), start.Add(grace))
 	defer cancel()
 	if err := jobsServer.Shutdown(ctx); err != nil {
-		e.logger.Warn("drain_cut", "open_jobs", e.dispatcher.Open())
+		e.logger.Warn("drain_cut", "open_jobs", e.dispatcher.OpenJobs())
 		return
 	}
 	e.logger.Info("drain_ended", "elapsed_ms", time.Since(start).Milliseconds())
@@ -244,6 +244,6 @@
 // Reload applies a replaced settings file. Only the list of seeds can change while
 // the process runs.
 func (e *LeasedEntry) Reload(s settings.LeasedEntry) {
-	e.dispatcher.Learn(s.Seeds)
+	e.dispatcher.AddEntries(s.Seeds)
 	e.logger.Info("settings_reloaded", "seeds", len(s.Seeds))
 }
