--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -98,7 +98,7 @@
 	case err = <-failed:
 	case <-ctx.Done():
 		a.logger.Info("drain_begun")
-		a.runner.Leave()
+		a.runner.Drain()
 		drained := rpc.Drain(a.opts.Settings.Bounds.Grace-closeReserve, a.runner.Drained)
 		a.logger.Info("drain_ended", "all_ended", drained)
 	}
@@ -120,7 +120,7 @@
 // date until the context is cancelled.
 func (a *LeasedAgent) restoreWorker(ctx context.Context) {
 	if w, ok := a.recorder.Read(ctx); ok {
-		a.runner.Recalled(w)
+		a.runner.RestoreWorker(w)
 	}
 	a.recorder.Run(ctx)
 }
@@ -134,7 +134,7 @@
 
 // Reported implements adapter.Reports.
 func (r recordingReports) Reported(w corerunner.Worker) bool {
-	ok := r.runner.Reported(w)
+	ok := r.runner.HandleReport(w)
 	if ok {
 		r.recorder.Reported(w)
 	}
@@ -143,13 +143,13 @@
 
 // Left implements adapter.Reports.
 func (r recordingReports) Left(id string) {
-	r.runner.Left(id)
+	r.runner.HandleLeave(id)
 	r.recorder.Left(id)
 }
 
 // Reload applies a replaced settings file. Only the list of seeds can change while
 // the process runs.
 func (a *LeasedAgent) Reload(s settings.LeasedAgent) {
-	a.runner.Learn(s.Seeds)
+	a.runner.AddEntries(s.Seeds)
 	a.logger.Info("settings_reloaded", "seeds", len(s.Seeds))
 }
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -87,25 +87,25 @@
 	r.timer.Stop()
 }
 
-// Reported handles a worker's report of its own state. It returns false if the report is
+// HandleReport handles a worker's report of its own state. It returns false if the report is
 // not from a worker in use.
-func (r *Runner) Reported(w runner.Worker) (ok bool) {
+func (r *Runner) HandleReport(w runner.Worker) (ok bool) {
 	r.decide(func(now time.Time) { ok = r.core.HandleReport(now, w) })
 	return ok
 }
 
-// Recalled restores the worker's incarnation recorded by an earlier agent process.
-func (r *Runner) Recalled(w runner.Worker) {
+// RestoreWorker restores the worker's incarnation recorded by an earlier agent process.
+func (r *Runner) RestoreWorker(w runner.Worker) {
 	r.decide(func(now time.Time) { r.core.RestoreWorker(now, w) })
 }
 
-// Left handles a worker's notice that it ends.
-func (r *Runner) Left(id string) {
+// HandleLeave handles a worker's notice that it ends.
+func (r *Runner) HandleLeave(id string) {
 	r.decide(func(now time.Time) { r.core.HandleLeave(now, id) })
 }
 
-// Leave makes the agent refuse new orders.
-func (r *Runner) Leave() { r.decide(r.core.Drain) }
+// Drain makes the agent refuse new orders.
+func (r *Runner) Drain() { r.decide(r.core.Drain) }
 
 // Drained reports whether no runs are left.
 func (r *Runner) Drained() bool {
@@ -229,5 +229,5 @@
 	return g
 }
 
-// Learn adds addresses of entries that were found by other means.
-func (r *Runner) Learn(addresses []string) { r.entries.addAddresses(addresses) }
+// AddEntries adds addresses of entries that were found by other means.
+func (r *Runner) AddEntries(addresses []string) { r.entries.addAddresses(addresses) }
