--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -51,9 +51,9 @@
 	// FindPeer returns the entry with the given incarnation if it may be reachable,
 	// otherwise nil. It must not block. If it is nil, Peers are searched.
 	FindPeer func(incarnation string) *pb.Peer
-	// Exchange handles another entry's state and returns this entry's. If it is
+	// HandleExchange handles another entry's state and returns this entry's. If it is
 	// nil, the call is not served.
-	Exchange func(*pb.PeerState) *pb.PeerState
+	HandleExchange func(*pb.PeerState) *pb.PeerState
 	// ExchangeNow starts an exchange with every other entry. It must not block. If
 	// it is nil, only the periodic exchanges take place.
 	ExchangeNow func()
--- a/node/entry/keys_test.go
+++ b/node/entry/keys_test.go
@@ -31,11 +31,11 @@
 func handshake(members ...member) {
 	var all []string
 	for _, m := range members {
-		m.Announced(time.Now().Add(time.Hour))
+		m.AnnouncementRenewed(time.Now().Add(time.Hour))
 		all = append(all, m.incarnation)
 	}
 	for _, m := range members {
-		m.Listed(time.Now(), all)
+		m.ApplyList(time.Now(), all)
 	}
 	for range 3 {
 		for _, from := range members {
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -16,13 +16,13 @@
 // Exchange handles another entry's state and returns this entry's.
 func (s *nodesService) Exchange(_ context.Context, req *connect.Request[pb.PeerState]) (*connect.Response[pb.PeerState], error) {
 	e := s.e
-	if e.opts.Exchange == nil {
+	if e.opts.HandleExchange == nil {
 		return nil, connect.NewError(connect.CodeUnimplemented, ErrStart.New("this entry does not exchange state"))
 	}
 	if req.Msg.GetSelf().GetIncarnation() == "" {
 		return nil, connect.NewError(connect.CodeInvalidArgument, ErrStart.New("the state lacks its sender's incarnation"))
 	}
-	answer := e.opts.Exchange(req.Msg)
+	answer := e.opts.HandleExchange(req.Msg)
 	e.opts.Metrics.Message(metrics.MessageExchange, metrics.Received, proto.Size(req.Msg))
 	e.opts.Metrics.Message(metrics.MessageExchange, metrics.Sent, proto.Size(answer))
 	return connect.NewResponse(answer), nil
@@ -92,18 +92,18 @@
 	e.core.KeyResolver().ReceiveState(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
 }
 
-// Announced records that the entry's announcement in the store is valid until the
+// AnnouncementRenewed records that the entry's announcement in the store is valid until the
 // given time, which is counted from before the call to the store. It returns true
 // if the list of entries must be read from the store and applied.
-func (e *Entry) Announced(until time.Time) (list bool) {
+func (e *Entry) AnnouncementRenewed(until time.Time) (list bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.core.KeyResolver().AnnouncementRenewed(time.Now(), until)
 }
 
-// Listed applies the complete list of entries in the store, read in a call that
+// ApplyList applies the complete list of entries in the store, read in a call that
 // began at readAt.
-func (e *Entry) Listed(readAt time.Time, incarnations []string) {
+func (e *Entry) ApplyList(readAt time.Time, incarnations []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.core.KeyResolver().ApplyList(time.Now(), readAt, incarnations)
@@ -124,9 +124,9 @@
 	})
 }
 
-// SetStarters sets which other entries may start tasks, whether this entry is
+// SetPossibleStarters sets which other entries may start tasks, whether this entry is
 // fenced and must not start any, and the names of all contracts in force.
-func (e *Entry) SetStarters(others []string, fenced bool, contracts []string) {
+func (e *Entry) SetPossibleStarters(others []string, fenced bool, contracts []string) {
 	e.step(func(now time.Time) {
 		received, acked := make(map[string]uint64, len(others)), make(map[string]uint64, len(others))
 		for _, incarnation := range others {
@@ -138,9 +138,9 @@
 	})
 }
 
-// HoldsParts reports whether the entry holds a share of any contract and so may
+// HoldsShares reports whether the entry holds a share of any contract and so may
 // start tasks. It is also true while no contract allows any tasks.
-func (e *Entry) HoldsParts() bool {
+func (e *Entry) HoldsShares() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.core.HoldsShares()
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -126,7 +126,7 @@
 	for _, c := range e.config.Snapshot().All() {
 		contracts = append(contracts, c.Name)
 	}
-	e.SetStarters(others, fenced, contracts)
+	e.SetPossibleStarters(others, fenced, contracts)
 }
 
 // ready returns why the entry can't serve callers yet, or nil. Without contracts
@@ -138,7 +138,7 @@
 		return errNotReady.New("no contracts received yet")
 	case !e.membership.Discovered():
 		return errNotReady.New("other entries not discovered yet")
-	case !e.HoldsParts():
+	case !e.HoldsShares():
 		return errNotReady.New("no share of any contract held yet")
 	}
 	return nil
@@ -189,7 +189,7 @@
 		Contracts:   func() []*pb.Contract { return e.config.Snapshot().All() },
 		Peers:       func() []*pb.Peer { return e.membership.Peers() },
 		FindPeer:    func(incarnation string) *pb.Peer { return e.membership.Find(incarnation) },
-		Exchange:    func(state *pb.PeerState) *pb.PeerState { return e.membership.Serve(state) },
+		HandleExchange:    func(state *pb.PeerState) *pb.PeerState { return e.membership.Serve(state) },
 		ExchangeNow: func() { e.membership.ExchangeNow() },
 		StoreError:  func() string { return e.membership.StoreError() },
 
@@ -215,11 +215,11 @@
 		Events:      b.ring,
 		Exchanger:   countingExchanger{membership.NewConnect(b.tls.nodes.Config()), b.metrics},
 		ExtendState: e.ExtendState, OnState: e.StateReceived,
-		OnPeers: e.SetPeers, OnStarters: e.startersChanged, OnAnnounced: e.Announced, OnListed: e.Listed,
+		OnPeers: e.SetPeers, OnStarters: e.startersChanged, OnAnnounced: e.AnnouncementRenewed, OnListed: e.ApplyList,
 		LeaseTTL: b.opts.LeaseTTL, Member: b.opts.Member, Logger: b.log,
 	})
 	// Fence the entry until the shares of the other entries are known.
-	e.SetStarters(nil, true, nil)
+	e.SetPossibleStarters(nil, true, nil)
 	e.config.OnChange(func(newer []*pb.Contract, _ *contract.Snapshot) {
 		for _, c := range newer {
 			b.recordContract(c)
