--- a/node/roster/roster.go
+++ b/node/roster/roster.go
@@ -32,12 +32,12 @@
 type Options struct {
 	Store         store.Client
 	Name, Address string
-	// ListEvery returns the interval at which the entry reads the list, to find
+	// ListInterval returns the interval at which the entry reads the list, to find
 	// entries that its seeds don't lead to.
-	ListEvery func() time.Duration
-	// Alone reports whether the entry knows no other. If that is so shortly after Run
+	ListInterval func() time.Duration
+	// NoPeers reports whether the entry knows no other. If that is so shortly after Run
 	// begins, the list is read at once.
-	Alone  func() bool
+	NoPeers  func() bool
 	Logger *slog.Logger
 }
 
@@ -57,7 +57,7 @@
 func (r *Roster) Run(ctx context.Context, found func(addresses []string)) {
 	// Entries that start together read the list at different times, except for one
 	// that knows no other.
-	lastListed := time.Now().Add(-rand.N(r.opts.ListEvery()))
+	lastListed := time.Now().Add(-rand.N(r.opts.ListInterval()))
 	wait, first := firstListDelay, true
 	for ctx.Err() == nil && !r.leaving.Load() {
 		renewErr := r.renew(ctx)
@@ -69,7 +69,7 @@
 		if renewErr != nil {
 			wait = retryDelay
 		}
-		listDue := time.Since(lastListed) >= r.opts.ListEvery() || first && r.opts.Alone()
+		listDue := time.Since(lastListed) >= r.opts.ListInterval() || first && r.opts.NoPeers()
 		first = false
 		if !listDue {
 			continue
--- a/node/roster/roster_test.go
+++ b/node/roster/roster_test.go
@@ -22,7 +22,7 @@
 	options := func(name, address string) Options {
 		return Options{
 			Store: client, Name: name, Address: address, Logger: slog.New(slog.DiscardHandler),
-			ListEvery: func() time.Duration { return time.Minute }, Alone: func() bool { return true },
+			ListInterval: func() time.Duration { return time.Minute }, NoPeers: func() bool { return true },
 		}
 	}
 	first, second := New(options("entry-1", "127.0.0.1:1")), New(options("entry-2", "127.0.0.1:2"))
