--- a/node/clock/clock.go
+++ b/node/clock/clock.go
@@ -24,6 +24,6 @@
 // processStart is the origin of the monotonic time.
 var processStart = time.Now()
 
-// Steady returns the time since the process started by its monotonic clock, which
+// Monotonic returns the time since the process started by its monotonic clock, which
 // stops while the machine is suspended.
-func Steady() time.Duration { return time.Since(processStart) }
+func Monotonic() time.Duration { return time.Since(processStart) }
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -191,7 +191,7 @@
 // holdAfterSuspension delays a request if the process was suspended just before. It
 // returns false if the caller disconnects meanwhile.
 func (d *Dispatcher) holdAfterSuspension(ctx context.Context) bool {
-	hold := d.suspension.Hold(clock.Now(), clock.Steady())
+	hold := d.suspension.Hold(clock.Now(), clock.Monotonic())
 	if hold == 0 {
 		return true
 	}
