--- a/node/agent/agent.go
+++ b/node/agent/agent.go
@@ -184,7 +184,7 @@
 	a.log.Info("draining", "limit", a.opts.DrainTimeout)
 	a.leaving.Store(true)
 	a.step(a.core.Leave)
-	if !rpc.Drain(a.opts.DrainTimeout, a.drained) {
+	if !rpc.WaitDrained(a.opts.DrainTimeout, a.drained) {
 		a.recordProcess(event.DrainEnded, "limit reached with work left")
 		a.log.Warn("drain limit reached")
 		return
--- a/node/agent/links.go
+++ b/node/agent/links.go
@@ -60,7 +60,7 @@
 	}
 	defer a.linkDown(hello, l)
 	go a.readLink(stream, hello, cancel)
-	return l.out.Drain(ctx, stream.Send)
+	return l.out.SendAll(ctx, stream.Send)
 }
 
 func (a *Agent) linkUp(hello *pb.EntryHello, l *entryLink) (refused string) {
--- a/node/dispatcher/links.go
+++ b/node/dispatcher/links.go
@@ -46,7 +46,7 @@
 	}
 	defer d.linkDown(g, l)
 	go d.readLink(stream, g, end)
-	return l.out.Drain(ctx, stream.Send)
+	return l.out.SendAll(ctx, stream.Send)
 }
 
 func (d *Dispatcher) linkUp(g *pb.AgentGreeting, l *link) (ok bool) {
--- a/node/dispatcher/peers.go
+++ b/node/dispatcher/peers.go
@@ -148,7 +148,7 @@
 	client := rpc.NewClient(nil)
 	x := &peer{
 		address: address, http: client,
-		client: papayahoistv1connect.NewWorkServiceClient(client, rpc.URL(address, nil), rpc.NoCompressionWanted),
+		client: papayahoistv1connect.NewWorkServiceClient(client, rpc.URL(address, nil), rpc.NoAcceptCompression),
 		wake:   make(chan struct{}, 1),
 	}
 	p.all[address] = x
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -107,7 +107,7 @@
 	cancel    context.CancelFunc
 	killed    atomic.Bool
 
-	clients        *rpc.Clients // for other entries
+	clients        *rpc.ClientCache // for other entries
 	forwardRetries *retry.Policy
 	leaving        atomic.Bool
 
@@ -133,7 +133,7 @@
 	}
 	e := &Entry{
 		opts: opts, log: opts.Logger,
-		clients: rpc.NewClients(opts.NodesTLS), forwardRetries: newForwardRetries(),
+		clients: rpc.NewClientCache(opts.NodesTLS), forwardRetries: newForwardRetries(),
 		links:   make(map[string]*agentLink),
 		waiters: make(map[string][]chan *pb.Answer),
 	}
@@ -234,7 +234,7 @@
 	e.log.Info("draining", "limit", e.opts.DrainTimeout)
 	e.leaving.Store(true)
 	e.step(e.core.Leave)
-	if !rpc.Drain(e.opts.DrainTimeout, e.drained) {
+	if !rpc.WaitDrained(e.opts.DrainTimeout, e.drained) {
 		e.recordProcess(event.DrainEnded, "limit reached with jobs left")
 		e.log.Warn("drain limit reached")
 		return
--- a/node/entry/links.go
+++ b/node/entry/links.go
@@ -85,7 +85,7 @@
 }
 
 func writeLink(ctx context.Context, stream *linkStream, l *agentLink) {
-	if l.out.Drain(ctx, stream.Send) != nil {
+	if l.out.SendAll(ctx, stream.Send) != nil {
 		l.cancel()
 	}
 }
--- a/node/membership/connect.go
+++ b/node/membership/connect.go
@@ -13,12 +13,12 @@
 // Connect is an Exchanger that calls the nodes' ports of entries.
 type Connect struct {
 	tls     *tls.Config
-	clients *rpc.Clients
+	clients *rpc.ClientCache
 }
 
 // NewConnect returns an Exchanger. If tlsConfig is nil, connections are not encrypted.
 func NewConnect(tlsConfig *tls.Config) *Connect {
-	return &Connect{tls: tlsConfig, clients: rpc.NewClients(tlsConfig)}
+	return &Connect{tls: tlsConfig, clients: rpc.NewClientCache(tlsConfig)}
 }
 
 // Exchange implements Exchanger. After a failed exchange it drops the client, whose
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -99,7 +99,7 @@
 	case <-ctx.Done():
 		a.logger.Info("drain_begun")
 		a.runner.Drain()
-		drained := rpc.Drain(a.opts.Settings.Bounds.Grace-closeReserve, a.runner.Drained)
+		drained := rpc.WaitDrained(a.opts.Settings.Bounds.Grace-closeReserve, a.runner.Drained)
 		a.logger.Info("drain_ended", "all_ended", drained)
 	}
 	a.runner.Close()
--- a/node/rpc/clients.go
+++ b/node/rpc/clients.go
@@ -10,9 +10,9 @@
 // clientIdleTimeout is how long an unused client is kept.
 const clientIdleTimeout = 10 * time.Minute
 
-// Clients caches one client, with its connections, per address. It is safe for
+// ClientCache caches one client, with its connections, per address. It is safe for
 // concurrent use.
-type Clients struct {
+type ClientCache struct {
 	tls *tls.Config
 
 	mu      sync.Mutex
@@ -24,13 +24,13 @@
 	lastUsed time.Time
 }
 
-// NewClients returns an empty cache. A nil tlsConfig means no TLS.
-func NewClients(tlsConfig *tls.Config) *Clients {
-	return &Clients{tls: tlsConfig, clients: make(map[string]*cachedClient)}
+// NewClientCache returns an empty cache. A nil tlsConfig means no TLS.
+func NewClientCache(tlsConfig *tls.Config) *ClientCache {
+	return &ClientCache{tls: tlsConfig, clients: make(map[string]*cachedClient)}
 }
 
 // Get returns the client for an address, creating it if there is none.
-func (c *Clients) Get(address string) *http.Client {
+func (c *ClientCache) Get(address string) *http.Client {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +44,7 @@
 	return k.client
 }
 
-func (c *Clients) prune(now time.Time) {
+func (c *ClientCache) prune(now time.Time) {
 	for address, k := range c.clients {
 		if now.Sub(k.lastUsed) > clientIdleTimeout {
 			delete(c.clients, address)
@@ -55,7 +55,7 @@
 
 // Drop removes a client on which a call has failed: its connection may stay
 // unresponsive while a new one would work. Calls in progress on it continue.
-func (c *Clients) Drop(address string, client *http.Client) {
+func (c *ClientCache) Drop(address string, client *http.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k := c.clients[address]; k != nil && k.client == client {
--- a/node/rpc/queue.go
+++ b/node/rpc/queue.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// Drain passes all items to send, in order, until the queue is closed, the context
+// SendAll passes all items to send, in order, until the queue is closed, the context
 // ends or send fails. It returns only the error of send. Only one goroutine may
 // call it.
-func (q *Queue[T]) Drain(ctx context.Context, send func(T) error) error {
+func (q *Queue[T]) SendAll(ctx context.Context, send func(T) error) error {
 	for {
 		items, ok := q.Take(ctx)
 		if !ok {
--- a/node/rpc/rpc.go
+++ b/node/rpc/rpc.go
@@ -20,8 +20,8 @@
 var (
 	// NoCompression is for connect handlers.
 	NoCompression = connect.WithCompression("gzip", nil, nil)
-	// NoCompressionWanted is for connect clients.
-	NoCompressionWanted = connect.WithAcceptCompression("gzip", nil, nil)
+	// NoAcceptCompression is for connect clients.
+	NoAcceptCompression = connect.WithAcceptCompression("gzip", nil, nil)
 )
 
 const (
@@ -48,11 +48,11 @@
 // client: from a shared pool it could get the connection that has become
 // unresponsive. A nil tlsConfig is for servers without TLS.
 func NewClient(tlsConfig *tls.Config) *http.Client {
-	return NewClientWithin(dialTimeout, tlsConfig)
+	return NewClientWithDialTimeout(dialTimeout, tlsConfig)
 }
 
-// NewClientWithin is like NewClient but with the given dial timeout.
-func NewClientWithin(timeout time.Duration, tlsConfig *tls.Config) *http.Client {
+// NewClientWithDialTimeout is like NewClient but with the given dial timeout.
+func NewClientWithDialTimeout(timeout time.Duration, tlsConfig *tls.Config) *http.Client {
 	var p http.Protocols
 	p.SetHTTP2(true)
 	p.SetUnencryptedHTTP2(tlsConfig == nil)
--- a/node/rpc/serve.go
+++ b/node/rpc/serve.go
@@ -25,10 +25,10 @@
 
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain polls drained until it returns true or the limit has passed, and reports
+// WaitDrained polls drained until it returns true or the limit has passed, and reports
 // whether it returned true. Without a limit, a process whose peer never returns
 // would never end.
-func Drain(limit time.Duration, drained func() bool) bool {
+func WaitDrained(limit time.Duration, drained func() bool) bool {
 	end := time.Now().Add(limit)
 	for time.Now().Before(end) {
 		if drained() {
--- a/node/runner/links.go
+++ b/node/runner/links.go
@@ -42,11 +42,11 @@
 	e.mu.Unlock()
 	ctx, cancel := context.WithCancel(e.r.ctx)
 	defer cancel()
-	client := rpc.NewClientWithin(dialTimeout, nil)
+	client := rpc.NewClientWithDialTimeout(dialTimeout, nil)
 	defer client.CloseIdleConnections()
 	timeout := time.AfterFunc(attachTimeout, cancel)
 	dialedAt := clock.Now()
-	stream := papayahoistv1connect.NewWorkServiceClient(client, rpc.URL(t.address, nil), rpc.NoCompressionWanted).Attach(ctx)
+	stream := papayahoistv1connect.NewWorkServiceClient(client, rpc.URL(t.address, nil), rpc.NoAcceptCompression).Attach(ctx)
 	err := stream.Send(&pb.WorkerFrame{Hello: e.r.newGreeting(previous, epoch)})
 	var first *pb.OrderFrame
 	if err == nil {
@@ -117,7 +117,7 @@
 }
 
 func write(ctx context.Context, stream *linkStream, l *link) {
-	if l.out.Drain(ctx, stream.Send) != nil {
+	if l.out.SendAll(ctx, stream.Send) != nil {
 		l.end()
 	}
 }
