--- a/cmd/internal/site/site.go
+++ b/cmd/internal/site/site.go
@@ -249,7 +249,7 @@
 	o.Join = s.join()
 	o.DrainTimeout = s.opts.DrainTimeout
 	n, err := process.NewEntry(process.EntryOptions{
-		Settings: o, Core: s.opts.EntryCore, Events: entryEvents, Registry: s.registry(), Logger: s.opts.Logger,
+		Settings: o, Core: s.opts.EntryCore, EventCapacity: entryEvents, Registry: s.registry(), Logger: s.opts.Logger,
 	})
 	if err != nil {
 		return ErrSite.Wrap(err, "entry %d", e.index)
--- a/node/process/agent.go
+++ b/node/process/agent.go
@@ -22,9 +22,9 @@
 	Settings settings.Agent
 	// Core configures the state machine. The zero value is for production.
 	Core coreagent.Options
-	// Events is the number of events that the time line keeps. If zero, a default
+	// EventCapacity is the number of events that the time line keeps. If zero, a default
 	// applies.
-	Events int
+	EventCapacity int
 	// Registry is where metrics are registered. If nil, NewAgent creates one.
 	Registry *prometheus.Registry
 	Version  string
@@ -54,7 +54,7 @@
 	if p, ok := preset.ByName(s.Preset); ok {
 		core.ApplyPreset(p)
 	}
-	core.Events = event.NewRing(event.Options{Process: s.Name, Worker: s.Worker, Size: o.Events})
+	core.Events = event.NewRing(event.Options{Process: s.Name, Worker: s.Worker, Size: o.EventCapacity})
 	collectors := metrics.NewAgent(o.Registry, metrics.Options{Role: string(s.Role), Version: o.Version, Ring: core.Events})
 	log := newLogger(o.Logger, s.Name, collectors.Process)
 	driver, err := agent.New(agent.Options{
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -37,9 +37,9 @@
 	// the defaults.
 	LeaseTTL time.Duration
 	Member   member.Options
-	// Events is the number of events that the time line keeps. If zero, a default
+	// EventCapacity is the number of events that the time line keeps. If zero, a default
 	// applies.
-	Events int
+	EventCapacity int
 	// Registry is where metrics are registered. If nil, NewEntry creates one.
 	Registry *prometheus.Registry
 	Version  string
@@ -161,8 +161,8 @@
 	}
 	s := o.Settings
 	b := &entryBuilder{opts: o, started: time.Now()}
-	o.Events = cmp.Or(o.Events, defaultEvents)
-	b.ring = event.NewRing(event.Options{Process: s.Name, Size: o.Events})
+	o.EventCapacity = cmp.Or(o.EventCapacity, defaultEvents)
+	b.ring = event.NewRing(event.Options{Process: s.Name, Size: o.EventCapacity})
 	b.metrics = metrics.NewEntry(o.Registry, metrics.Options{Role: string(s.Role), Version: o.Version, Ring: b.ring})
 	b.log = newLogger(o.Logger, s.Name, b.metrics.Process)
 	b.hello = &pb.EntryHello{
