--- a/cmd/papayahoist/fleet.go
+++ b/cmd/papayahoist/fleet.go
@@ -29,7 +29,7 @@
 }
 
 func (f *fleetFlags) options() (fleet.Options, error) {
-	config, err := f.tls.Client()
+	config, err := f.tls.ClientConfig()
 	if err != nil {
 		return fleet.Options{}, cli.Fail(cli.CodeUsage, err)
 	}
--- a/cmd/papayahoist/job.go
+++ b/cmd/papayahoist/job.go
@@ -83,7 +83,7 @@
 		token = strings.TrimSpace(string(text))
 	}
 	options := client.Options{Addresses: c.entries, Token: token}
-	config, err := c.tls.Client()
+	config, err := c.tls.ClientConfig()
 	if err != nil {
 		return nil, cli.Fail(cli.CodeUsage, err)
 	}
--- a/node/certs/certs.go
+++ b/node/certs/certs.go
@@ -74,7 +74,7 @@
 	}
 	var config *tls.Config
 	if err == nil {
-		config, err = f.files.Server()
+		config, err = f.files.ServerConfig()
 	}
 	if err != nil {
 		f.failed.Add(1)
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -56,7 +56,7 @@
 		return nil, ErrStart.Wrap(err, "listen for the worker's reports")
 	}
 	incarnation := entry.NewIncarnation()
-	disabled, err := without.Parse(s.Without)
+	disabled, err := without.Parse(s.Disabled)
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
@@ -99,7 +99,7 @@
 	case <-ctx.Done():
 		a.logger.Info("drain_begun")
 		a.runner.Drain()
-		drained := rpc.WaitDrained(a.opts.Settings.Bounds.Grace-closeReserve, a.runner.Drained)
+		drained := rpc.WaitDrained(a.opts.Settings.Bounds.GracePeriod-closeReserve, a.runner.Drained)
 		a.logger.Info("drain_ended", "all_ended", drained)
 	}
 	a.runner.Close()
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -101,12 +101,12 @@
 	e := &LeasedEntry{opts: o, log: decisionlog.New(o.Out, slog.String("process", s.Name)), metrics: newLeasedMetrics()}
 	e.logger = slog.New(e.log.Handler())
 	incarnation := entry.NewIncarnation()
-	disabled, err := without.Parse(s.Without)
+	disabled, err := without.Parse(s.Disabled)
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
 	e.dispatcher, err = dispatcher.New(dispatcher.Options{
-		NodesListen: s.NodesListen, Address: s.Address(), Seeds: s.Seeds, Logger: e.logger,
+		NodesListen: s.NodesListen, Address: s.AdvertisedAddress(), Seeds: s.Seeds, Logger: e.logger,
 		OnFrame: e.metrics.countOrderFrame, OnExchange: e.metrics.exchanges.Inc,
 		Core: coredispatcher.Options{
 			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
@@ -127,7 +127,7 @@
 		OnCall: e.metrics.countStoreCall, WatchWait: func() time.Duration { return watchWait(len(e.dispatcher.Entries()), rand.Float64()) },
 	})
 	e.roster = roster.New(roster.Options{
-		Store: e.store, Name: s.Name, Address: s.Address(), Logger: e.logger,
+		Store: e.store, Name: s.Name, Address: s.AdvertisedAddress(), Logger: e.logger,
 		ListInterval: func() time.Duration { return listInterval(len(e.dispatcher.Entries())) },
 		NoPeers:     func() bool { return len(e.dispatcher.Entries()) < 2 },
 	})
@@ -137,7 +137,7 @@
 }
 
 func deriveTimes(b settings.Bounds) (bounds.Timeouts, error) {
-	times, err := bounds.Derive(bounds.Params{ResendAfter: b.Resend, MaxLease: b.MaxLease, StopTime: b.Stop})
+	times, err := bounds.Derive(bounds.Params{ResendAfter: b.ResendAfter, MaxLease: b.MaxLease, StopTime: b.StopTime})
 	if err != nil {
 		return times, ErrStart.Wrap(err, "invalid settings")
 	}
@@ -225,7 +225,7 @@
 	start := time.Now()
 	e.leaving.Store(true)
 	e.logger.Info("drain_begun", "open_jobs", e.dispatcher.OpenJobs())
-	grace := e.opts.Settings.Bounds.Grace - closeReserve
+	grace := e.opts.Settings.Bounds.GracePeriod - closeReserve
 	e.dispatcher.Drain(grace)
 	e.roster.Leave()
 	// Each answer from now on closes its connection, so that the caller connects to
--- a/node/process/leased_test.go
+++ b/node/process/leased_test.go
@@ -116,7 +116,7 @@
 // domainOf returns the failure domain of an agent.
 func domainOf(i int) string { return []string{"hall", "shed"}[i%2] }
 
-var leasedBounds = settings.Bounds{Resend: 1300 * time.Millisecond, MaxLease: time.Second, Stop: 50 * time.Millisecond, Grace: 4 * time.Second}
+var leasedBounds = settings.Bounds{ResendAfter: 1300 * time.Millisecond, MaxLease: time.Second, StopTime: 50 * time.Millisecond, GracePeriod: 4 * time.Second}
 
 func (s *leasedSite) entry(name, nodes string, seeds []string, storeAddress string) {
 	p := &leasedProcess{callers: freeAddress(s.t), ready: freeAddress(s.t)}
--- a/node/settings/leased.go
+++ b/node/settings/leased.go
@@ -18,15 +18,15 @@
 // Bounds holds limits that the platform and its workers guarantee. A zero value
 // means that no guarantee is known.
 type Bounds struct {
-	// Resend is the minimum time before a caller that got no answer resubmits a
+	// ResendAfter is the minimum time before a caller that got no answer resubmits a
 	// job.
-	Resend time.Duration `json:"resend"`
+	ResendAfter time.Duration `json:"resend"`
 	// MaxLease is the maximum lease duration that a worker grants.
 	MaxLease time.Duration `json:"max_lease"`
-	// Stop is the maximum time that a worker takes to stop a run.
-	Stop time.Duration `json:"stop"`
-	// Grace is the time between the signal of a planned shutdown and the kill.
-	Grace time.Duration `json:"grace"`
+	// StopTime is the maximum time that a worker takes to stop a run.
+	StopTime time.Duration `json:"stop"`
+	// GracePeriod is the time between the signal of a planned shutdown and the kill.
+	GracePeriod time.Duration `json:"grace"`
 	// RemoteFactor is the ratio of a task's run time outside the rack of its data
 	// to its run time within it.
 	RemoteFactor float64 `json:"remote_factor"`
@@ -58,9 +58,9 @@
 	ProcessorShare float64    `json:"processor_share"`
 	MemoryMB       uint32     `json:"memory_mb"`
 	LogLevel       slog.Level `json:"log_level"`
-	// Without lists the disabled features; see package without. It is meant for
+	// Disabled lists the disabled features; see package without. It is meant for
 	// developers.
-	Without []string `json:"without"`
+	Disabled []string `json:"without"`
 }
 
 // LeasedAgent holds the settings of an agent beside a worker with leases.
@@ -81,8 +81,8 @@
 	Bounds       Bounds     `json:"bounds"`
 	MemoryMB     uint32     `json:"memory_mb"`
 	LogLevel     slog.Level `json:"log_level"`
-	// Without is as in LeasedEntry.
-	Without []string `json:"without"`
+	// Disabled is as in LeasedEntry.
+	Disabled []string `json:"without"`
 }
 
 // Defaults and limits.
@@ -96,19 +96,19 @@
 // DefaultLeasedEntry returns an entry's default settings. Required settings are
 // left empty.
 func DefaultLeasedEntry() LeasedEntry {
-	return LeasedEntry{Role: RoleLeasedEntry, Bounds: Bounds{Grace: defaultGrace}, LogLevel: slog.LevelInfo}
+	return LeasedEntry{Role: RoleLeasedEntry, Bounds: Bounds{GracePeriod: defaultGrace}, LogLevel: slog.LevelInfo}
 }
 
 // DefaultLeasedAgent returns an agent's default settings. Required settings are
 // left empty.
 func DefaultLeasedAgent() LeasedAgent {
 	return LeasedAgent{
-		Role: RoleLeasedAgent, Connections: defaultLeasedConnections, Bounds: Bounds{Grace: defaultGrace}, LogLevel: slog.LevelInfo,
+		Role: RoleLeasedAgent, Connections: defaultLeasedConnections, Bounds: Bounds{GracePeriod: defaultGrace}, LogLevel: slog.LevelInfo,
 	}
 }
 
-// Address returns the address that is advertised to agents and other entries.
-func (e *LeasedEntry) Address() string {
+// AdvertisedAddress returns the address that is advertised to agents and other entries.
+func (e *LeasedEntry) AdvertisedAddress() string {
 	if e.NodesAddress != "" {
 		return e.NodesAddress
 	}
@@ -129,7 +129,7 @@
 	v.addresses("seeds", e.Seeds, 0)
 	v.bounds(e.Bounds)
 	v.level("log_level", e.LogLevel)
-	v.disabledFeatures("without", e.Without)
+	v.disabledFeatures("without", e.Disabled)
 	return join(v.problems)
 }
 
@@ -146,7 +146,7 @@
 	v.addresses("seeds", a.Seeds, 0)
 	v.bounds(a.Bounds)
 	v.level("log_level", a.LogLevel)
-	v.disabledFeatures("without", a.Without)
+	v.disabledFeatures("without", a.Disabled)
 	return join(v.problems)
 }
 
@@ -163,10 +163,10 @@
 }
 
 func (v *validator) bounds(b Bounds) {
-	v.duration("bounds.resend", b.Resend, 0, maxBound)
+	v.duration("bounds.resend", b.ResendAfter, 0, maxBound)
 	v.duration("bounds.max_lease", b.MaxLease, 0, maxBound)
-	v.duration("bounds.stop", b.Stop, 0, maxBound)
-	v.duration("bounds.grace", b.Grace, time.Second, maxBound)
+	v.duration("bounds.stop", b.StopTime, 0, maxBound)
+	v.duration("bounds.grace", b.GracePeriod, time.Second, maxBound)
 	if b.RemoteFactor < 0 {
 		v.addWrongValue("bounds.remote_factor", "negative", "zero or more")
 	}
--- a/node/settings/leased_test.go
+++ b/node/settings/leased_test.go
@@ -31,11 +31,11 @@
 
 func TestLeasedSettings(t *testing.T) {
 	e, err := LoadLeasedEntry(writeSettings(t, leasedEntryText))
-	if err != nil || e.Bounds.Resend != 1300*time.Millisecond || e.ProcessorShare != 0.4 || len(e.Seeds) != 2 {
+	if err != nil || e.Bounds.ResendAfter != 1300*time.Millisecond || e.ProcessorShare != 0.4 || len(e.Seeds) != 2 {
 		t.Errorf("%+v, %v", e, err)
 	}
 	a, err := LoadLeasedAgent(writeSettings(t, leasedAgentText))
-	if err != nil || a.Bounds.Grace != defaultGrace || a.Connections != defaultLeasedConnections {
+	if err != nil || a.Bounds.GracePeriod != defaultGrace || a.Connections != defaultLeasedConnections {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
--- a/node/settings/load.go
+++ b/node/settings/load.go
@@ -97,7 +97,7 @@
 func checkFiles(ports ...TLSFiles) error {
 	var problems []error
 	for _, files := range ports {
-		if _, err := files.Server(); err != nil {
+		if _, err := files.ServerConfig(); err != nil {
 			problems = append(problems, err)
 		}
 	}
--- a/node/settings/tls.go
+++ b/node/settings/tls.go
@@ -19,14 +19,14 @@
 // Enabled reports whether the port uses TLS.
 func (f TLSFiles) Enabled() bool { return f != TLSFiles{} }
 
-// Server returns the TLS configuration to serve the port, or nil if TLS is off.
+// ServerConfig returns the TLS configuration to serve the port, or nil if TLS is off.
 // The configuration can also be used to dial peers with the same files. Errors are
 // of type Unreadable or Malformed.
-func (f TLSFiles) Server() (*tls.Config, error) {
+func (f TLSFiles) ServerConfig() (*tls.Config, error) {
 	if !f.Enabled() {
 		return nil, nil
 	}
-	config, err := f.Client()
+	config, err := f.ClientConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -40,10 +40,10 @@
 	return config, nil
 }
 
-// Client returns the TLS configuration to dial a port, or nil if TLS is off. The
+// ClientConfig returns the TLS configuration to dial a port, or nil if TLS is off. The
 // certificate may be omitted for ports that require none. Errors are of type
 // Unreadable or Malformed.
-func (f TLSFiles) Client() (*tls.Config, error) {
+func (f TLSFiles) ClientConfig() (*tls.Config, error) {
 	if !f.Enabled() {
 		return nil, nil
 	}
--- a/node/settings/tls_test.go
+++ b/node/settings/tls_test.go
@@ -53,7 +53,7 @@
 // accept those that have one.
 func TestTLSIsMutual(t *testing.T) {
 	files := selfSigned(t)
-	config, err := files.Server()
+	config, err := files.ServerConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	server.StartTLS()
 	defer server.Close()
 	get := func(files TLSFiles) error {
-		config, err := files.Client()
+		config, err := files.ClientConfig()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,7 +83,7 @@
 }
 
 func TestTLSOff(t *testing.T) {
-	config, err := TLSFiles{}.Server()
+	config, err := TLSFiles{}.ServerConfig()
 	if config != nil || err != nil {
 		t.Errorf("got %v, %v", config, err)
 	}
