--- a/node/config/editor.go
+++ b/node/config/editor.go
@@ -77,14 +77,14 @@
 		return 0, err
 	}
 	if p := a.pending; p != nil {
-		resolution, revision := contract.Resolve(stored, p.ChangeID, p.Prev)
+		resolution, revision := contract.Resolve(stored, p.ChangeID, p.PrevRevision)
 		switch {
 		case resolution == contract.Applied:
 			a.pending = nil
 			return revision, nil
 		case resolution == contract.NotApplied:
 			a.pending = nil
-		case revision != p.Prev:
+		case revision != p.PrevRevision:
 			return 0, newNotKnown(*p, nil)
 		}
 	}
@@ -103,7 +103,7 @@
 	}
 	revision, err := a.editor.store.CompareAndSwap(ctx, contract.Key(name), store.Revision(plan.PrevRevision), value, 0)
 	if store.IsUnknown(err) {
-		a.pending = &Pending{Contract: name, ChangeID: a.change.ID, Prev: plan.PrevRevision}
+		a.pending = &Pending{Contract: name, ChangeID: a.change.ID, PrevRevision: plan.PrevRevision}
 	}
 	return uint64(revision), err
 }
@@ -253,6 +253,6 @@
 	if err != nil {
 		return contract.Unknown, 0, translateError(err)
 	}
-	resolution, revision := contract.Resolve(stored, p.ChangeID, p.Prev)
+	resolution, revision := contract.Resolve(stored, p.ChangeID, p.PrevRevision)
 	return resolution, revision, nil
 }
--- a/node/config/errors.go
+++ b/node/config/errors.go
@@ -25,8 +25,8 @@
 type Pending struct {
 	Contract string
 	ChangeID string
-	// Prev is the revision that the change replaces, zero for a new contract.
-	Prev uint64
+	// PrevRevision is the revision that the change replaces, zero for a new contract.
+	PrevRevision uint64
 }
 
 // PendingOf returns the change whose outcome is unknown if err is of type
@@ -39,5 +39,5 @@
 
 func newNotKnown(p Pending, cause error) error {
 	return ErrNotKnown.Wrap(cause, "change %q of contract %q, based on revision %d, may or may not have been applied; retry with the same id",
-		p.ChangeID, p.Contract, p.Prev).WithProperty(pendingProperty, p)
+		p.ChangeID, p.Contract, p.PrevRevision).WithProperty(pendingProperty, p)
 }
