--- a/node/agent/agent.go
+++ b/node/agent/agent.go
@@ -237,7 +237,7 @@
 	for _, o := range ready.Frames {
 		if l := a.links[o.Entry]; l != nil && l.epoch == o.Epoch {
 			l.out.Put(o.Frame)
-			a.opts.Metrics.Message(metrics.AgentFrameKind(o.Frame), metrics.Sent, proto.Size(o.Frame))
+			a.opts.Metrics.CountMessage(metrics.AgentFrameKind(o.Frame), metrics.Sent, proto.Size(o.Frame))
 		}
 	}
 	for _, entry := range ready.Reconnect {
--- a/node/agent/links.go
+++ b/node/agent/links.go
@@ -95,7 +95,7 @@
 		if err != nil {
 			return
 		}
-		a.opts.Metrics.Message(metrics.EntryFrameKind(f), metrics.Received, proto.Size(f))
+		a.opts.Metrics.CountMessage(metrics.EntryFrameKind(f), metrics.Received, proto.Size(f))
 		if len(f.Peers) > 0 {
 			a.addEntries(f.Peers)
 			a.pruneEntries(f.Peers)
@@ -158,7 +158,7 @@
 	req := &pb.AnnounceRequest{
 		Agent: a.opts.Hello, Relink: newLink, Leaving: leaving, Clock: a.opts.Core.Events.Stamp(time.Now()),
 	}
-	a.opts.Metrics.Message(metrics.MessageAnnounce, metrics.Sent, proto.Size(req))
+	a.opts.Metrics.CountMessage(metrics.MessageAnnounce, metrics.Sent, proto.Size(req))
 	resp, err := papayahoistv1connect.NewEntryServiceClient(client, rpc.URL(address, a.opts.NodesTLS)).Announce(ctx,
 		connect.NewRequest(req))
 	if err != nil {
--- a/node/agent/operators.go
+++ b/node/agent/operators.go
@@ -72,7 +72,7 @@
 		a.opts.Metrics.TasksFailed.Inc()
 	}
 	if res.RunMillis > 0 {
-		a.opts.Metrics.TaskRun.Observe((time.Duration(res.RunMillis) * time.Millisecond).Seconds())
+		a.opts.Metrics.TaskRunTime.Observe((time.Duration(res.RunMillis) * time.Millisecond).Seconds())
 	}
 }
 
--- a/node/entry/forward.go
+++ b/node/entry/forward.go
@@ -105,7 +105,7 @@
 		Home:  p.Incarnation, Job: rq.job, Fetch: rq.fetch, Cancel: rq.cancel,
 		Contract: rq.contract, WaitMs: uint32(rq.wait / time.Millisecond),
 	}
-	e.opts.Metrics.Message(metrics.MessageForward, metrics.Sent, proto.Size(m))
+	e.opts.Metrics.CountMessage(metrics.MessageForward, metrics.Sent, proto.Size(m))
 	client := e.clients.Get(p.Address)
 	service := papayahoistv1connect.NewEntryServiceClient(client, rpc.URL(p.Address, e.opts.NodesTLS))
 	resp, err := service.Forward(ctx, connect.NewRequest(m))
--- a/node/entry/links.go
+++ b/node/entry/links.go
@@ -60,7 +60,7 @@
 		if err != nil {
 			break
 		}
-		e.opts.Metrics.Message(metrics.AgentFrameKind(f), metrics.Received, proto.Size(f))
+		e.opts.Metrics.CountMessage(metrics.AgentFrameKind(f), metrics.Received, proto.Size(f))
 		e.step(func(now time.Time) { e.core.Step(now, d.Agent, l.epoch, f) })
 	}
 	e.step(func(now time.Time) { e.core.LinkDown(now, d.Agent, l.epoch, false) })
--- a/node/entry/nodes.go
+++ b/node/entry/nodes.go
@@ -43,8 +43,8 @@
 	resp := &pb.AnnounceResponse{
 		Entry: s.e.opts.Hello, Peers: s.e.opts.Peers(), Clock: s.e.opts.Core.Events.Stamp(time.Now()),
 	}
-	s.e.opts.Metrics.Message(metrics.MessageAnnounce, metrics.Received, proto.Size(m))
-	s.e.opts.Metrics.Message(metrics.MessageAnnounce, metrics.Sent, proto.Size(resp))
+	s.e.opts.Metrics.CountMessage(metrics.MessageAnnounce, metrics.Received, proto.Size(m))
+	s.e.opts.Metrics.CountMessage(metrics.MessageAnnounce, metrics.Sent, proto.Size(resp))
 	return connect.NewResponse(resp), nil
 }
 
@@ -61,8 +61,8 @@
 		wait: time.Duration(m.WaitMs) * time.Millisecond,
 	})
 	resp := &pb.ForwardResponse{Answer: r.answer, Known: r.known, Clock: s.e.opts.Core.Events.Stamp(time.Now())}
-	s.e.opts.Metrics.Message(metrics.MessageForward, metrics.Received, proto.Size(m))
-	s.e.opts.Metrics.Message(metrics.MessageForward, metrics.Sent, proto.Size(resp))
+	s.e.opts.Metrics.CountMessage(metrics.MessageForward, metrics.Received, proto.Size(m))
+	s.e.opts.Metrics.CountMessage(metrics.MessageForward, metrics.Sent, proto.Size(resp))
 	return connect.NewResponse(resp), nil
 }
 
--- a/node/entry/operators.go
+++ b/node/entry/operators.go
@@ -86,7 +86,7 @@
 			MemoryBytes: use.MemoryBytes,
 			Offered:     series.Offered.Value(),
 			Served:      series.Served.Value(),
-			Started:     series.TasksStarted.Value(),
+			Started:     series.TasksDispatched.Value(),
 			Refused:     series.RefusedCounts(),
 		})
 	}
@@ -158,7 +158,7 @@
 	c := e.series(contract)
 	c.Offered.Add(1)
 	if answer != nil && answer.Outcome == pb.Outcome_OUTCOME_NOT_RUN {
-		c.Refused(jobs.Code(answer.Code))
+		c.CountRefused(jobs.Code(answer.Code))
 	}
 }
 
@@ -169,10 +169,10 @@
 	case pb.Outcome_OUTCOME_COMPLETE:
 		c.Served.Add(1)
 		if response, ideal, ok := e.core.ResponseTime(answered); ok {
-			c.Response(response, ideal)
+			c.ObserveResponse(response, ideal)
 		}
 	case pb.Outcome_OUTCOME_NOT_RUN:
-		c.Refused(jobs.Code(a.Code))
+		c.CountRefused(jobs.Code(a.Code))
 	case pb.Outcome_OUTCOME_UNKNOWN:
 		c.Unknown.Inc()
 	default:
@@ -182,9 +182,9 @@
 
 // countFrame counts a frame sent to an agent and the tasks that it starts.
 func (e *Entry) countFrame(f *pb.EntryFrame, bytes int) {
-	e.opts.Metrics.Message(metrics.EntryFrameKind(f), metrics.Sent, bytes)
+	e.opts.Metrics.CountMessage(metrics.EntryFrameKind(f), metrics.Sent, bytes)
 	for _, b := range f.Starts {
-		e.series(b.Contract).TasksStarted.Add(len(b.Tasks))
+		e.series(b.Contract).TasksDispatched.Add(len(b.Tasks))
 	}
 }
 
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -23,8 +23,8 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, ErrStart.New("the state lacks its sender's incarnation"))
 	}
 	answer := e.opts.HandleExchange(req.Msg)
-	e.opts.Metrics.Message(metrics.MessageExchange, metrics.Received, proto.Size(req.Msg))
-	e.opts.Metrics.Message(metrics.MessageExchange, metrics.Sent, proto.Size(answer))
+	e.opts.Metrics.CountMessage(metrics.MessageExchange, metrics.Received, proto.Size(req.Msg))
+	e.opts.Metrics.CountMessage(metrics.MessageExchange, metrics.Sent, proto.Size(answer))
 	return connect.NewResponse(answer), nil
 }
 
--- a/node/metrics/contract.go
+++ b/node/metrics/contract.go
@@ -23,8 +23,8 @@
 	Failed prometheus.Counter
 	// Unknown counts the jobs answered with an unknown outcome.
 	Unknown prometheus.Counter
-	// TasksStarted counts the tasks sent to agents.
-	TasksStarted *Counter
+	// TasksDispatched counts the tasks sent to agents.
+	TasksDispatched *Counter
 
 	refused       map[jobs.Code]*Counter
 	responseRatio prometheus.Observer
@@ -58,8 +58,8 @@
 	return counts
 }
 
-// Refused counts a job answered as not run.
-func (c *Contract) Refused(code jobs.Code) {
+// CountRefused counts a job answered as not run.
+func (c *Contract) CountRefused(code jobs.Code) {
 	if counter, ok := c.refused[code]; ok {
 		counter.Add(1)
 		return
@@ -67,10 +67,10 @@
 	c.refused[otherCode].Add(1)
 }
 
-// Response records the ratio of response, the time from a job's arrival to its
+// ObserveResponse records the ratio of response, the time from a job's arrival to its
 // answer, to ideal, the longest run time of its tasks. Jobs without a run time are
 // ignored.
-func (c *Contract) Response(response, ideal time.Duration) {
+func (c *Contract) ObserveResponse(response, ideal time.Duration) {
 	if ideal > 0 {
 		c.responseRatio.Observe(float64(response) / float64(ideal))
 	}
@@ -105,7 +105,7 @@
 		Served:        &Counter{counter: v.served.WithLabelValues(name)},
 		Failed:        v.failed.WithLabelValues(name),
 		Unknown:       v.unknown.WithLabelValues(name),
-		TasksStarted:  &Counter{counter: v.started.WithLabelValues(name)},
+		TasksDispatched:  &Counter{counter: v.started.WithLabelValues(name)},
 		refused:       make(map[jobs.Code]*Counter),
 		responseRatio: v.responseRatio.WithLabelValues(name),
 	}
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -76,9 +76,9 @@
 	return p
 }
 
-// Message counts one message and its encoded size in bytes. An agent must not call
+// CountMessage counts one message and its encoded size in bytes. An agent must not call
 // it with a kind that is exchanged between entries only.
-func (p *Process) Message(m Message, d Direction, bytes int) {
+func (p *Process) CountMessage(m Message, d Direction, bytes int) {
 	p.messages[m][d].Inc()
 	p.messageBytes[m][d].Add(float64(bytes))
 }
@@ -114,8 +114,8 @@
 	*Process
 	// TasksFailed counts the tasks that failed at the endpoint.
 	TasksFailed prometheus.Counter
-	// TaskRun observes the run time of tasks at the endpoint.
-	TaskRun prometheus.Histogram
+	// TaskRunTime observes the run time of tasks at the endpoint.
+	TaskRunTime prometheus.Histogram
 
 	state stateSource[AgentState]
 }
@@ -157,7 +157,7 @@
 	a := &Agent{
 		Process:     newProcess(reg, o, true),
 		TasksFailed: f.counter("tasks_failed_total", "Tasks that failed at the endpoint."),
-		TaskRun:     f.histogram("task_run_seconds", "Run time of tasks at the endpoint.", taskRunBuckets),
+		TaskRunTime:     f.histogram("task_run_seconds", "Run time of tasks at the endpoint.", taskRunBuckets),
 	}
 	gauge := func(name, help string, value func(AgentState) float64) {
 		f.gaugeFunc(name, help, func() float64 { return value(a.state.read()) })
@@ -255,9 +255,9 @@
 	})
 }
 
-// StoreCall counts a call to the platform's store and records its duration d, except
+// ObserveStoreCall counts a call to the platform's store and records its duration d, except
 // for watches.
-func (e *Entry) StoreCall(c StoreCall, d time.Duration, err error) {
+func (e *Entry) ObserveStoreCall(c StoreCall, d time.Duration, err error) {
 	s := e.storeCalls[c]
 	if err != nil {
 		s.failed.Inc()
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -92,7 +92,7 @@
 	e := NewEntry(reg, Options{Role: "entry"})
 	before := series(t, reg)
 	e.AddContract("stamps")
-	e.Contract("stamps").Refused(jobs.CodeRateLimited)
+	e.Contract("stamps").CountRefused(jobs.CodeRateLimited)
 	e.RemoveContract("stamps")
 	e.RemoveContract("never-there")
 	if after := series(t, reg); after != before {
@@ -107,12 +107,12 @@
 	e.SetState(func() EntryState { return EntryState{JobsInFlight: 7, StoreUp: true} })
 	e.AddContract("reports")
 	c := e.Contract("reports")
-	c.Refused(jobs.CodeQueueFull)
-	c.Refused("a-code-of-tomorrow")
-	c.Response(300*time.Millisecond, 200*time.Millisecond)
-	c.Response(300*time.Millisecond, 0)
-	e.StoreCall(StoreWrite, time.Millisecond, nil)
-	e.StoreCall(StoreWrite, time.Second, errors.New("timeout"))
+	c.CountRefused(jobs.CodeQueueFull)
+	c.CountRefused("a-code-of-tomorrow")
+	c.ObserveResponse(300*time.Millisecond, 200*time.Millisecond)
+	c.ObserveResponse(300*time.Millisecond, 0)
+	e.ObserveStoreCall(StoreWrite, time.Millisecond, nil)
+	e.ObserveStoreCall(StoreWrite, time.Second, errors.New("timeout"))
 	for range 3 {
 		ring.Record(time.Unix(0, 0), event.Event{Kind: event.JobForwarded})
 	}
@@ -230,10 +230,10 @@
 	for b.Loop() {
 		c := e.Contract("reports")
 		c.Offered.Add(1)
-		c.TasksStarted.Add(1)
-		e.Message(MessageStart, Sent, 200)
-		e.Message(MessageUpdate, Received, 200)
+		c.TasksDispatched.Add(1)
+		e.CountMessage(MessageStart, Sent, 200)
+		e.CountMessage(MessageUpdate, Received, 200)
 		c.Served.Add(1)
-		c.Response(300*time.Millisecond, 200*time.Millisecond)
+		c.ObserveResponse(300*time.Millisecond, 200*time.Millisecond)
 	}
 }
--- a/node/process/exchange.go
+++ b/node/process/exchange.go
@@ -19,10 +19,10 @@
 
 // Exchange implements membership.Exchanger.
 func (c countingExchanger) Exchange(ctx context.Context, address string, state *pb.PeerState) (*pb.PeerState, error) {
-	c.metrics.Message(metrics.MessageExchange, metrics.Sent, proto.Size(state))
+	c.metrics.CountMessage(metrics.MessageExchange, metrics.Sent, proto.Size(state))
 	answer, err := c.next.Exchange(ctx, address, state)
 	if err == nil {
-		c.metrics.Message(metrics.MessageExchange, metrics.Received, proto.Size(answer))
+		c.metrics.CountMessage(metrics.MessageExchange, metrics.Received, proto.Size(answer))
 	}
 	return answer, err
 }
--- a/node/process/store.go
+++ b/node/process/store.go
@@ -25,7 +25,7 @@
 	return etcdv3.New("http://"+addresses[0], etcdv3.Options{
 		HTTPClient: &http.Client{Transport: roundTripper},
 		OnCall: func(kind etcdv3.Kind, took time.Duration, err error) {
-			m.StoreCall(storeCalls[kind], took, err)
+			m.ObserveStoreCall(storeCalls[kind], took, err)
 		},
 	})
 }
