--- a/node/certs/certs.go
+++ b/node/certs/certs.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Failed returns the number of failed attempts to reload.
-func (f *Files) Failed() uint64 { return f.failed.Load() }
+// FailedReloads returns the number of failed attempts to reload.
+func (f *Files) FailedReloads() uint64 { return f.failed.Load() }
 
 // Reload loads the files if they have changed, and reports whether they had. If it
 // fails, the previous configuration stays in use.
--- a/node/certs/certs_test.go
+++ b/node/certs/certs_test.go
@@ -125,8 +125,8 @@
 	if err := os.WriteFile(serverFiles.Key, []byte("half a ke"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if changed, err := server.Reload(); changed || err == nil || server.Failed() != 1 {
-		t.Errorf("Reload of a broken key: %v, %v, %d failed", changed, err, server.Failed())
+	if changed, err := server.Reload(); changed || err == nil || server.FailedReloads() != 1 {
+		t.Errorf("Reload of a broken key: %v, %v, %d failed", changed, err, server.FailedReloads())
 	}
 	step("the last valid ones stay in use", rpc.NewClient(client.Config()), true)
 
