--- a/cmd/papayahoist/contract_change.go
+++ b/cmd/papayahoist/contract_change.go
@@ -55,7 +55,7 @@
 
 func (c *contractCommand) report(name string, revision uint64, err error) error {
 	if err != nil {
-		if errorx.IsOfType(err, config.ErrNotKnown) {
+		if errorx.IsOfType(err, config.ErrOutcomeUnknown) {
 			c.env.Progress("repeat the command with --change-id %s to find out; nothing is changed twice", c.changeID)
 		}
 		return contractFailure(err)
@@ -147,7 +147,7 @@
 		return cli.Fail(cli.CodeConflict, conflict(err))
 	case errorx.IsOfType(err, contract.ErrNotFound):
 		return cli.Fail(cli.CodeNotFound, err)
-	case errorx.IsOfType(err, config.ErrNotKnown):
+	case errorx.IsOfType(err, config.ErrOutcomeUnknown):
 		return cli.Fail(cli.CodeUnknown, err)
 	case errorx.IsOfType(err, config.ErrUnavailable), errorx.IsOfType(err, config.ErrRefused):
 		return cli.Fail(cli.CodeNotRun, err)
--- a/node/config/editor.go
+++ b/node/config/editor.go
@@ -65,7 +65,7 @@
 	editor *Editor
 	change contract.Change
 	// pending is set while the outcome of a write is unknown.
-	pending *Pending
+	pending *PendingChange
 }
 
 // try reads the record, resolves a pending write, and writes the change. Writing
@@ -85,7 +85,7 @@
 		case resolution == contract.NotApplied:
 			a.pending = nil
 		case revision != p.PrevRevision:
-			return 0, newNotKnown(*p, nil)
+			return 0, newOutcomeUnknown(*p, nil)
 		}
 	}
 	plan, err := contract.PlanChange(a.change, stored)
@@ -103,7 +103,7 @@
 	}
 	revision, err := a.editor.store.CompareAndSwap(ctx, contract.Key(name), store.Revision(plan.PrevRevision), value, 0)
 	if store.IsUnknown(err) {
-		a.pending = &Pending{Contract: name, ChangeID: a.change.ID, PrevRevision: plan.PrevRevision}
+		a.pending = &PendingChange{Contract: name, ChangeID: a.change.ID, PrevRevision: plan.PrevRevision}
 	}
 	return uint64(revision), err
 }
@@ -116,8 +116,8 @@
 // finalError translates errors of the store. An unresolved write takes precedence
 // over any later error.
 func (a *attempt) finalError(err error) error {
-	if err != nil && a.pending != nil && !errorx.IsOfType(err, ErrNotKnown) {
-		return newNotKnown(*a.pending, err)
+	if err != nil && a.pending != nil && !errorx.IsOfType(err, ErrOutcomeUnknown) {
+		return newOutcomeUnknown(*a.pending, err)
 	}
 	return translateError(err)
 }
@@ -248,7 +248,7 @@
 // Resolve determines the outcome of a pending change. The result
 // contract.NotKnown means that the change is not found applied so far and that it
 // can't be ruled out; see contract.Resolve.
-func (e *Editor) Resolve(ctx context.Context, p Pending) (contract.Resolution, uint64, error) {
+func (e *Editor) Resolve(ctx context.Context, p PendingChange) (contract.Resolution, uint64, error) {
 	stored, err := e.record(ctx, p.Contract)
 	if err != nil {
 		return contract.Unknown, 0, translateError(err)
--- a/node/config/editor_test.go
+++ b/node/config/editor_test.go
@@ -100,7 +100,7 @@
 		}()
 		_, err = e.Apply(t.Context(), change("c2", first, 2))
 		pending, ok := config.PendingOf(err)
-		if want := (config.Pending{Contract: "desk", ChangeID: "c2", PrevRevision: first}); !ok || pending != want || !errorx.IsOfType(err, config.ErrNotKnown) {
+		if want := (config.PendingChange{Contract: "desk", ChangeID: "c2", PrevRevision: first}); !ok || pending != want || !errorx.IsOfType(err, config.ErrOutcomeUnknown) {
 			t.Fatalf("Apply: %v, pending %+v", err, pending)
 		}
 		if _, _, err := e.Resolve(t.Context(), pending); !errorx.IsOfType(err, config.ErrUnavailable) {
--- a/node/config/errors.go
+++ b/node/config/errors.go
@@ -11,18 +11,18 @@
 	// ErrUnavailable means that the store could not be reached, or that the change
 	// kept conflicting with others. Nothing was changed.
 	ErrUnavailable = Errors.NewType("unavailable")
-	// ErrNotKnown means that a change was sent and that it could not be determined
+	// ErrOutcomeUnknown means that a change was sent and that it could not be determined
 	// whether it was applied; see PendingOf. Applying it again with the same id is
 	// safe.
-	ErrNotKnown = Errors.NewType("not_known")
+	ErrOutcomeUnknown = Errors.NewType("not_known")
 	// ErrRefused means that the store rejected the call as invalid.
 	ErrRefused = Errors.NewType("refused")
 )
 
 var pendingProperty = errorx.RegisterProperty("pending")
 
-// Pending identifies a change whose outcome is unknown.
-type Pending struct {
+// PendingChange identifies a change whose outcome is unknown.
+type PendingChange struct {
 	Contract string
 	ChangeID string
 	// PrevRevision is the revision that the change replaces, zero for a new contract.
@@ -31,13 +31,13 @@
 
 // PendingOf returns the change whose outcome is unknown if err is of type
 // ErrNotKnown.
-func PendingOf(err error) (Pending, bool) {
+func PendingOf(err error) (PendingChange, bool) {
 	property, _ := errorx.ExtractProperty(err, pendingProperty)
-	pending, ok := property.(Pending)
+	pending, ok := property.(PendingChange)
 	return pending, ok
 }
 
-func newNotKnown(p Pending, cause error) error {
-	return ErrNotKnown.Wrap(cause, "change %q of contract %q, based on revision %d, may or may not have been applied; retry with the same id",
+func newOutcomeUnknown(p PendingChange, cause error) error {
+	return ErrOutcomeUnknown.Wrap(cause, "change %q of contract %q, based on revision %d, may or may not have been applied; retry with the same id",
 		p.ChangeID, p.Contract, p.PrevRevision).WithProperty(pendingProperty, p)
 }
