--- a/node/entry/operators.go
+++ b/node/entry/operators.go
@@ -146,7 +146,7 @@
 
 // series returns the counters of a contract. Only contracts in the configuration
 // have counters of their own.
-func (e *Entry) series(contract string) *metrics.Contract {
+func (e *Entry) series(contract string) *metrics.ContractMetrics {
 	if e.opts.Contract != nil && e.opts.Contract(contract) != nil {
 		e.opts.Metrics.AddContract(contract)
 	}
--- a/node/metrics/contract.go
+++ b/node/metrics/contract.go
@@ -13,8 +13,8 @@
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 )
 
-// Contract holds the series of one contract at an entry.
-type Contract struct {
+// ContractMetrics holds the series of one contract at an entry.
+type ContractMetrics struct {
 	// Offered counts the jobs submitted by callers, excluding resubmissions.
 	Offered *Counter
 	// Served counts the jobs answered with complete results.
@@ -48,7 +48,7 @@
 
 // RefusedCounts returns the number of refused jobs by code, sorted by code. Codes
 // without refused jobs are omitted.
-func (c *Contract) RefusedCounts() []*pb.RefusedCount {
+func (c *ContractMetrics) RefusedCounts() []*pb.RefusedCount {
 	var counts []*pb.RefusedCount
 	for _, code := range slices.Sorted(maps.Keys(c.refused)) {
 		if n := c.refused[code].Value(); n > 0 {
@@ -59,7 +59,7 @@
 }
 
 // CountRefused counts a job answered as not run.
-func (c *Contract) CountRefused(code jobs.Code) {
+func (c *ContractMetrics) CountRefused(code jobs.Code) {
 	if counter, ok := c.refused[code]; ok {
 		counter.Add(1)
 		return
@@ -70,7 +70,7 @@
 // ObserveResponse records the ratio of response, the time from a job's arrival to its
 // answer, to ideal, the longest run time of its tasks. Jobs without a run time are
 // ignored.
-func (c *Contract) ObserveResponse(response, ideal time.Duration) {
+func (c *ContractMetrics) ObserveResponse(response, ideal time.Duration) {
 	if ideal > 0 {
 		c.responseRatio.Observe(float64(response) / float64(ideal))
 	}
@@ -99,8 +99,8 @@
 }
 
 // newContract creates the series of a contract.
-func (v contractVecs) newContract(name string) *Contract {
-	c := &Contract{
+func (v contractVecs) newContract(name string) *ContractMetrics {
+	c := &ContractMetrics{
 		Offered:       &Counter{counter: v.offered.WithLabelValues(name)},
 		Served:        &Counter{counter: v.served.WithLabelValues(name)},
 		Failed:        v.failed.WithLabelValues(name),
@@ -128,10 +128,10 @@
 // writers replace the map.
 type contractCache struct {
 	mu     sync.Mutex
-	byName atomic.Pointer[map[string]*Contract]
+	byName atomic.Pointer[map[string]*ContractMetrics]
 }
 
-func (c *contractCache) load() map[string]*Contract {
+func (c *contractCache) load() map[string]*ContractMetrics {
 	if m := c.byName.Load(); m != nil {
 		return *m
 	}
@@ -141,7 +141,7 @@
 // Contract returns the series of a configured contract. All other names share the
 // series of OtherContract, so that a caller that sends made-up names can't exhaust
 // the memory of the process or of the Prometheus server.
-func (e *Entry) Contract(name string) *Contract {
+func (e *Entry) Contract(name string) *ContractMetrics {
 	if c, ok := e.contracts.load()[name]; ok {
 		return c
 	}
@@ -164,7 +164,7 @@
 	if _, ok := old[name]; ok || len(old) >= MaxContracts || name == OtherContract {
 		return
 	}
-	next := make(map[string]*Contract, len(old)+1)
+	next := make(map[string]*ContractMetrics, len(old)+1)
 	maps.Copy(next, old)
 	next[name] = e.contractVecs.newContract(name)
 	e.contracts.byName.Store(&next)
--- a/node/metrics/labels.go
+++ b/node/metrics/labels.go
@@ -27,13 +27,13 @@
 // otherCode is the label of codes not in refusalCodes.
 const otherCode = "other"
 
-// Message is the kind of a message between processes. A link frame with several
+// MessageKind is the kind of a message between processes. A link frame with several
 // contents has the kind that comes first in the order of the constants.
-type Message uint8
+type MessageKind uint8
 
 // Kinds of messages.
 const (
-	MessageHello Message = iota
+	MessageHello MessageKind = iota
 	MessageStart
 	MessageUpdate
 	MessageRevoke
@@ -56,7 +56,7 @@
 }
 
 // betweenEntries reports whether the kind is exchanged between entries only.
-func (m Message) betweenEntries() bool { return m == MessageForward || m == MessageExchange }
+func (m MessageKind) betweenEntries() bool { return m == MessageForward || m == MessageExchange }
 
 // entryOnlyEvents are the event kinds that agents never record.
 var entryOnlyEvents = map[event.Kind]bool{
@@ -77,7 +77,7 @@
 }
 
 // EntryFrameKind returns the kind of an entry's frame.
-func EntryFrameKind(f *pb.EntryFrame) Message {
+func EntryFrameKind(f *pb.EntryFrame) MessageKind {
 	switch {
 	case f.Hello != nil:
 		return MessageHello
@@ -100,7 +100,7 @@
 }
 
 // AgentFrameKind returns the kind of an agent's frame.
-func AgentFrameKind(f *pb.AgentFrame) Message {
+func AgentFrameKind(f *pb.AgentFrame) MessageKind {
 	switch {
 	case f.Hello != nil:
 		return MessageHello
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -56,7 +56,7 @@
 	messages := f.counterVec("messages_total", "Messages between processes.", "kind", "direction")
 	bytes := f.counterVec("message_bytes_total", "Encoded bytes of messages between processes.", "kind", "direction")
 	for m, kind := range messageNames {
-		if agent && Message(m).betweenEntries() {
+		if agent && MessageKind(m).betweenEntries() {
 			continue
 		}
 		for d, direction := range directionNames {
@@ -78,7 +78,7 @@
 
 // CountMessage counts one message and its encoded size in bytes. An agent must not call
 // it with a kind that is exchanged between entries only.
-func (p *Process) CountMessage(m Message, d Direction, bytes int) {
+func (p *Process) CountMessage(m MessageKind, d Direction, bytes int) {
 	p.messages[m][d].Inc()
 	p.messageBytes[m][d].Add(float64(bytes))
 }
@@ -178,7 +178,7 @@
 	storeCalls    [storeCallCount]storeCallSeries
 	contracts     contractCache
 	contractVecs  contractVecs
-	otherContract *Contract
+	otherContract *ContractMetrics
 }
 
 // EntryState is the state of an entry at the time of a scrape.
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-func refusedText(c *Contract) string {
+func refusedText(c *ContractMetrics) string {
 	var parts []string
 	for _, r := range c.RefusedCounts() {
 		parts = append(parts, fmt.Sprintf("code:%q count:%d", r.Code, r.Count))
@@ -186,7 +186,7 @@
 func TestFrameKinds(t *testing.T) {
 	entry := []struct {
 		frame *pb.EntryFrame
-		want  Message
+		want  MessageKind
 	}{
 		{&pb.EntryFrame{Hello: &pb.EntryHello{}}, MessageHello},
 		{&pb.EntryFrame{Starts: []*pb.StartBatch{{}}, Want: 1}, MessageStart},
@@ -205,7 +205,7 @@
 	}
 	agent := []struct {
 		frame *pb.AgentFrame
-		want  Message
+		want  MessageKind
 	}{
 		{&pb.AgentFrame{Hello: &pb.AgentHello{}}, MessageHello},
 		{&pb.AgentFrame{News: []*pb.TaskNews{{}}, Granted: 1}, MessageUpdate},
