--- a/node/certs/certs.go
+++ b/node/certs/certs.go
@@ -24,9 +24,9 @@
 // DefaultReloadInterval is the time between checks of the files.
 const DefaultReloadInterval = 10 * time.Second
 
-// Files holds the TLS files of one port and the configuration loaded from them. Its
+// Reloader holds the TLS files of one port and the configuration loaded from them. Its
 // methods are safe for concurrent use.
-type Files struct {
+type Reloader struct {
 	files   settings.TLSFiles
 	current atomic.Pointer[tls.Config]
 	failed  atomic.Uint64
@@ -36,8 +36,8 @@
 }
 
 // Load loads the files. Errors are those of settings.TLSFiles.
-func Load(files settings.TLSFiles) (*Files, error) {
-	f := &Files{files: files}
+func Load(files settings.TLSFiles) (*Reloader, error) {
+	f := &Reloader{files: files}
 	if !files.Enabled() {
 		return f, nil
 	}
@@ -50,7 +50,7 @@
 // Config returns the configuration to serve the port and to dial others with the
 // same files, or nil if TLS is off. Its GetConfigForClient returns the last
 // configuration that was loaded; dialers must call it too.
-func (f *Files) Config() *tls.Config {
+func (f *Reloader) Config() *tls.Config {
 	if !f.files.Enabled() {
 		return nil
 	}
@@ -61,11 +61,11 @@
 }
 
 // FailedReloads returns the number of failed attempts to reload.
-func (f *Files) FailedReloads() uint64 { return f.failed.Load() }
+func (f *Reloader) FailedReloads() uint64 { return f.failed.Load() }
 
 // Reload loads the files if they have changed, and reports whether they had. If it
 // fails, the previous configuration stays in use.
-func (f *Files) Reload() (changed bool, err error) {
+func (f *Reloader) Reload() (changed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	contents, err := f.read()
@@ -86,7 +86,7 @@
 	return true, nil
 }
 
-func (f *Files) read() ([][]byte, error) {
+func (f *Reloader) read() ([][]byte, error) {
 	var contents [][]byte
 	for _, name := range []string{f.files.Cert, f.files.Key, f.files.CA} {
 		if name == "" {
@@ -116,9 +116,9 @@
 // Watch periodically reloads the files of ports until ctx is done. The interval is
 // the time between checks; if zero, DefaultReloadInterval is used. Failures are
 // logged once until the files can be loaded again.
-func Watch(ctx context.Context, log *slog.Logger, interval time.Duration, ports ...*Files) {
+func Watch(ctx context.Context, log *slog.Logger, interval time.Duration, ports ...*Reloader) {
 	interval = cmp.Or(interval, DefaultReloadInterval)
-	failing := make(map[*Files]bool)
+	failing := make(map[*Reloader]bool)
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -136,7 +136,7 @@
 }
 
 // reloadPort reloads the files of one port and logs changes and new failures.
-func reloadPort(log *slog.Logger, f *Files, failing map[*Files]bool) {
+func reloadPort(log *slog.Logger, f *Reloader, failing map[*Reloader]bool) {
 	changed, err := f.Reload()
 	switch {
 	case err != nil && !failing[f]:
--- a/node/process/tls.go
+++ b/node/process/tls.go
@@ -9,7 +9,7 @@
 )
 
 // entryTLS holds the TLS files of an entry's ports.
-type entryTLS struct{ callers, nodes, operators *certs.Files }
+type entryTLS struct{ callers, nodes, operators *certs.Reloader }
 
 func loadEntryTLS(files settings.EntryTLS) (entryTLS, error) {
 	var t entryTLS
@@ -27,7 +27,7 @@
 }
 
 // agentTLS holds the TLS files of an agent's ports.
-type agentTLS struct{ nodes, operators *certs.Files }
+type agentTLS struct{ nodes, operators *certs.Reloader }
 
 func loadAgentTLS(files settings.AgentTLS) (agentTLS, error) {
 	var t agentTLS
@@ -44,7 +44,7 @@
 // loaded.
 type portFiles struct {
 	files  settings.TLSFiles
-	loaded **certs.Files
+	loaded **certs.Reloader
 }
 
 func loadPorts(ports ...portFiles) error {
