--- a/cmd/internal/bench/faults.go
+++ b/cmd/internal/bench/faults.go
@@ -95,10 +95,10 @@
 		e.Stop()
 		return func() { r.restart(e.Start) }
 	case FaultSilentLinks:
-		a.Relay().Silence()
-		e.NodesRelay().Silence()
+		a.Relay().Blackhole()
+		e.NodesRelay().Blackhole()
 	case FaultSilentCaller:
-		e.CallersRelay().Silence()
+		e.CallersRelay().Blackhole()
 	case FaultCutDomain:
 		return cutDomain(agents, r.config.Profile.WorkersPerRack)
 	case FaultBadWorker:
@@ -120,7 +120,7 @@
 func cutDomain(agents []*site.Agent, n int) (heal func()) {
 	n = min(n, len(agents))
 	for _, a := range agents[:n] {
-		a.Relay().Cut()
+		a.Relay().Partition()
 	}
 	return func() {
 		for _, a := range agents[:n] {
--- a/cmd/internal/bench/run.go
+++ b/cmd/internal/bench/run.go
@@ -192,14 +192,14 @@
 }
 
 func (r *run) idle(ctx context.Context) {
-	r.idleBefore = r.site.Messages()
+	r.idleBefore = r.site.MessageCounts()
 	_ = sleep(ctx, idleTime)
-	r.idleAfter = r.site.Messages()
+	r.idleAfter = r.site.MessageCounts()
 }
 
 // load submits every job at its time and waits for the last answer.
 func (r *run) load(ctx context.Context) {
-	r.before = r.site.Messages()
+	r.before = r.site.MessageCounts()
 	var wg sync.WaitGroup
 	start := time.Now()
 	stopFaults := r.startFaults(ctx)
@@ -215,7 +215,7 @@
 	wg.Wait()
 	r.took = time.Since(start)
 	stopFaults()
-	r.after = r.site.Messages()
+	r.after = r.site.MessageCounts()
 }
 
 func (r *run) progress(i int, at time.Duration) {
--- a/cmd/internal/site/counts.go
+++ b/cmd/internal/site/counts.go
@@ -23,8 +23,8 @@
 	return n
 }
 
-// Messages reads the counters of every process that runs or ran.
-func (s *Site) Messages() Messages {
+// MessageCounts reads the counters of every process that runs or ran.
+func (s *Site) MessageCounts() Messages {
 	s.mu.Lock()
 	registries := append(s.registries[:0:0], s.registries...)
 	s.mu.Unlock()
--- a/cmd/internal/site/relay.go
+++ b/cmd/internal/site/relay.go
@@ -108,8 +108,8 @@
 // SetDelay changes how long bytes take one way from now on.
 func (r *Relay) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// Silence makes every open connection silent for good; new ones work.
-func (r *Relay) Silence() {
+// Blackhole makes every open connection silent for good; new ones work.
+func (r *Relay) Blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -117,9 +117,9 @@
 	}
 }
 
-// Cut makes open connections silent for good, and new ones too until Heal.
-func (r *Relay) Cut() {
-	r.Silence()
+// Partition makes open connections silent for good, and new ones too until Heal.
+func (r *Relay) Partition() {
+	r.Blackhole()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = true
--- a/cmd/internal/timeline/walk_test.go
+++ b/cmd/internal/timeline/walk_test.go
@@ -111,7 +111,7 @@
 		return process
 	}
 	first, second := agentNamed(s, started(0)), agentNamed(s, started(1))
-	first.Relay().Silence()
+	first.Relay().Blackhole()
 	if slices.ContainsFunc(collect(t, s, ours).Events, isResultAtEntry) {
 		return false
 	}
