--- a/cmd/internal/soak/cluster.go
+++ b/cmd/internal/soak/cluster.go
@@ -97,8 +97,8 @@
 
 // newCluster starts the stand-ins, then the processes.
 func newCluster(o Options, size Size, ledger *Ledger) (*cluster, error) {
-	c := &cluster{size: size, dir: o.Keep, began: time.Now(), ledger: ledger, spawner: newSpawner(), store: standin.NewStore()}
-	if err := c.startAll(o.Daemon); err != nil {
+	c := &cluster{size: size, dir: o.OutputDir, began: time.Now(), ledger: ledger, spawner: newSpawner(), store: standin.NewStore()}
+	if err := c.startAll(o.DaemonPath); err != nil {
 		c.close()
 		return nil, err
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -14,10 +14,10 @@
 // Options configure Run.
 type Options struct {
 	Schedule Schedule
-	// Daemon is the program that runs entries and agents.
-	Daemon string
-	// Keep is a folder for settings, logs and what was found; it must be there.
-	Keep string
+	// DaemonPath is the program that runs entries and agents.
+	DaemonPath string
+	// OutputDir is a folder for settings, logs and what was found; it must be there.
+	OutputDir string
 	// Untimed leaves out the promises with a time bound, so that a busy machine
 	// changes no verdict.
 	Untimed bool
@@ -71,7 +71,7 @@
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
 	}
-	if err := keep(o.Keep, ScheduleFile, o.Schedule); err != nil {
+	if err := keep(o.OutputDir, ScheduleFile, o.Schedule); err != nil {
 		return nil, err
 	}
 	plan := &o.Schedule
@@ -93,7 +93,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return p.report, keep(o.Keep, ReportFile, p.report)
+	return p.report, keep(o.OutputDir, ReportFile, p.report)
 }
 
 func keep(dir, name string, v any) error {
--- a/cmd/internal/soak/run_test.go
+++ b/cmd/internal/soak/run_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	report, err := Run(t.Context(), Options{Schedule: schedule, Daemon: daemonProgram(t), Keep: dir, Untimed: true})
+	report, err := Run(t.Context(), Options{Schedule: schedule, DaemonPath: daemonProgram(t), OutputDir: dir, Untimed: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	size, _ := SizeByName("small")
 	schedule, _ := Plan(1, 20*time.Second, size)
 	schedule.Duration, schedule.Actions, schedule.Calms = 200*time.Millisecond, nil, nil
-	report, err := Run(t.Context(), Options{Schedule: schedule, Daemon: "/bin/false", Keep: t.TempDir(), Untimed: true})
+	report, err := Run(t.Context(), Options{Schedule: schedule, DaemonPath: "/bin/false", OutputDir: t.TempDir(), Untimed: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/papayahoist/soak.go
+++ b/cmd/papayahoist/soak.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	o := soak.Options{Schedule: schedule, Daemon: c.daemon, Keep: dir, Untimed: c.untimed}
+	o := soak.Options{Schedule: schedule, DaemonPath: c.daemon, OutputDir: dir, Untimed: c.untimed}
 	if c.verbose {
 		o.Progress = c.env.Progress
 	}
