--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -211,8 +211,8 @@
 	return d.core.OpenJobs()
 }
 
-// State reports whether this entry holds a job, and whether the job has started.
-func (d *Dispatcher) State(queue, id string) (known, started bool) {
+// JobState reports whether this entry holds a job, and whether the job has started.
+func (d *Dispatcher) JobState(queue, id string) (known, started bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.JobState(queue, id)
@@ -229,10 +229,10 @@
 	return known
 }
 
-// Waiting returns the number of a queue's jobs of which nothing has started: those at this
+// WaitingJobs returns the number of a queue's jobs of which nothing has started: those at this
 // entry, and those that have waited for a minimum time at other entries; see package
 // tally.
-func (d *Dispatcher) Waiting(queue string) int {
+func (d *Dispatcher) WaitingJobs(queue string) int {
 	return d.waitingLocal(0)[queue] + d.peers.waiting(queue)
 }
 
@@ -289,9 +289,9 @@
 	return d.core.Configuration()
 }
 
-// Find returns the queue for a host and path, the rest of the path after the queue's
+// FindQueue returns the queue for a host and path, the rest of the path after the queue's
 // prefix, and the version of the configuration. The queue is nil if none matches.
-func (d *Dispatcher) Find(host, path string) (q *pb.Queue, rest string, version uint64) {
+func (d *Dispatcher) FindQueue(host, path string) (q *pb.Queue, rest string, version uint64) {
 	return d.routes.Load().find(host, path)
 }
 
--- a/node/dispatcher/exchange_test.go
+++ b/node/dispatcher/exchange_test.go
@@ -132,10 +132,10 @@
 	all[nonPartner].decide(func(now time.Time) {
 		all[nonPartner].core.Submit(now, dispatcher.Job{ID: "1", Queue: &pb.Queue{Name: "q", Service: "s", TargetMs: 5000}, Steps: []dispatcher.Step{{Count: 1}}})
 	})
-	if got := all[nonPartner].Waiting("q"); got != 1 {
+	if got := all[nonPartner].WaitingJobs("q"); got != 1 {
 		t.Fatalf("%d jobs waiting at the entry that holds one", got)
 	}
-	for one.Waiting("q") != 3 {
+	for one.WaitingJobs("q") != 3 {
 		all[nonPartner].peers.countWaiting(map[string]int{"q": 3}) // as if they had waited for the minimum time
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/node/runner/runner.go
+++ b/node/runner/runner.go
@@ -20,7 +20,7 @@
 	Start(ctx context.Context, s runner.Start) (v runner.StartVerdict, clock time.Duration, why string)
 	// Stop reports whether the worker has responded.
 	Stop(ctx context.Context, s runner.Stop) (answered bool, clock time.Duration)
-	Look(ctx context.Context, l runner.Poll) (runner.PollAnswer, runner.PollVerdict)
+	Poll(ctx context.Context, l runner.Poll) (runner.PollAnswer, runner.PollVerdict)
 }
 
 // Options configure a Runner.
@@ -193,7 +193,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, l.Wait+l.Slack)
 	defer cancel()
-	seen, v := r.opts.Worker.Look(ctx, l)
+	seen, v := r.opts.Worker.Poll(ctx, l)
 	if r.ctx.Err() != nil {
 		return false
 	}
