--- a/dispatch/agent/credits.go
+++ b/dispatch/agent/credits.go
@@ -20,6 +20,6 @@
 // in the frame that carries the result, unless another entry is entitled to them.
 func (a *Agent) grantAgain(p *peer, units int) {
 	if !a.leaving {
-		p.pending.Granted += uint32(a.slots.Sticky(p.hello.Incarnation, units))
+		p.pending.Granted += uint32(a.slots.Regrant(p.hello.Incarnation, units))
 	}
 }
--- a/dispatch/agent/links.go
+++ b/dispatch/agent/links.go
@@ -97,7 +97,7 @@
 	a.handleAck(p)
 	a.slots.SetWant(entry, int(f.Want))
 	if f.Returned > 0 || f.Recalled {
-		a.slots.Returned(entry, int(f.Returned))
+		a.slots.Return(entry, int(f.Returned))
 	}
 	for _, b := range f.Starts {
 		a.startBatch(now, p, b)
--- a/dispatch/agent/queue.go
+++ b/dispatch/agent/queue.go
@@ -15,14 +15,14 @@
 	Link(entry string, now time.Time)
 	Unlink(entry string)
 	SetWant(entry string, want int)
-	Returned(entry string, n int)
-	Unused(entry string, units int)
+	Return(entry string, n int)
+	Refund(entry string, units int)
 	Start(entry string, units int) limit.Verdict
 	Dequeue(entry string, units int) bool
 	Queued(entry string) int
 	Cancel(entry string, units int)
 	End(entry string, units int)
-	Sticky(entry string, units int) int
+	Regrant(entry string, units int) int
 	Balance(now time.Time, changes []limit.Grant) []limit.Grant
 	RecallAt() time.Time
 	Free() int
--- a/dispatch/agent/tasks.go
+++ b/dispatch/agent/tasks.go
@@ -28,7 +28,7 @@
 				// This record keeps the task from running twice. The result, if any, was
 				// queued on the new link when the link came up.
 				a.recordTask(now, event.TaskDuplicate, p, taskRef(b.Job, ts.Task), "started before")
-				a.slots.Unused(p.hello.Incarnation, units)
+				a.slots.Refund(p.hello.Incarnation, units)
 				continue
 			}
 		}
@@ -36,7 +36,7 @@
 			// The home was unreachable for so long that results which it had not
 			// acknowledged were evicted. This start may belong to one of them, and the
 			// task could run a second time.
-			a.slots.Unused(p.hello.Incarnation, units)
+			a.slots.Refund(p.hello.Incarnation, units)
 			a.addResult(p, b.Job, unknownResult(ts.Task))
 			continue
 		}
@@ -46,7 +46,7 @@
 		}
 		if verdict == limit.Refuse {
 			a.recordTask(now, event.TaskRefused, p, taskRef(b.Job, ts.Task), reason)
-			a.slots.Unused(p.hello.Incarnation, units)
+			a.slots.Refund(p.hello.Incarnation, units)
 			a.addResult(p, b.Job, refusal(ts.Task, reason))
 			continue
 		}
--- a/dispatch/bounds/bounds.go
+++ b/dispatch/bounds/bounds.go
@@ -92,10 +92,10 @@
 func Derive(g Params) (Timeouts, error) {
 	resend := cmp.Or(g.ResendAfter, defaultResend)
 	t := Timeouts{
-		EntryTimeout: scale(resend, entryTimeoutFraction),
-		Lease:   min(cmp.Or(g.MaxLease, defaultLease), scale(resend, leaseFraction)),
-		StopTime:    cmp.Or(g.StopTime, defaultStop),
-		ReconnectTimeout:  scale(resend, reconnectFraction),
+		EntryTimeout:     scale(resend, entryTimeoutFraction),
+		Lease:            min(cmp.Or(g.MaxLease, defaultLease), scale(resend, leaseFraction)),
+		StopTime:         cmp.Or(g.StopTime, defaultStop),
+		ReconnectTimeout: scale(resend, reconnectFraction),
 	}
 	t.MaxOrderDelay = scale(t.EntryTimeout, orderDelayFraction)
 	leaseExpiry := LeaseExpiry(t.Lease)
--- a/dispatch/contract/change.go
+++ b/dispatch/contract/change.go
@@ -16,7 +16,7 @@
 	Contract *pb.Contract
 	// ID identifies the change, Author its author for human readers.
 	ID, Author string
-	At     time.Time
+	At         time.Time
 	// Rebase permits merging the change with others made since its base revision.
 	Rebase bool
 }
@@ -26,9 +26,9 @@
 	// AppliedRevision is the revision that the change made if it is in the store already,
 	// or zero if Record has yet to be written.
 	AppliedRevision uint64
-	// Record is to be written by compare-and-swap on revision Prev.
-	Record *pb.ContractRecord
-	PrevRevision   uint64
+	// Record is to be written by compare-and-swap on PrevRevision.
+	Record       *pb.ContractRecord
+	PrevRevision uint64
 }
 
 // PlanChange plans the write that applies a change to the stored record, nil if there is
--- a/dispatch/contract/registry.go
+++ b/dispatch/contract/registry.go
@@ -85,7 +85,7 @@
 // revision upTo; it passes zero for both if it can't.
 //
 // A message intended for another process, or for this one before a restart, may leave a
-// gap before since. Then the contracts are applied, and Covered does not change.
+// gap before since. Then the contracts are applied, and CompleteUpTo does not change.
 func (r *Registry) Apply(contracts []*pb.Contract, since, upTo uint64) []*pb.Contract {
 	var newer []*pb.Contract
 	updated := r.snapshot.byName
--- a/dispatch/dispatcher/invite.go
+++ b/dispatch/dispatcher/invite.go
@@ -20,7 +20,7 @@
 	Service string
 	Size    size.Size
 	// Label that a worker must have; empty: any.
-	Label  string
+	Label     string
 	MaxAgents int
 }
 
--- a/dispatch/gossip/gossip.go
+++ b/dispatch/gossip/gossip.go
@@ -93,7 +93,7 @@
 // Digest returns a hash of the records of the entries that are alive.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Version returns a number that grows whenever Living or the partners change.
+// Version returns a number that grows whenever Alive or the partners change.
 func (v *View) Version() uint64 { return v.changes }
 
 // IsAlive reports whether the entry at an address is alive.
--- a/dispatch/job/refusal.go
+++ b/dispatch/job/refusal.go
@@ -2,12 +2,12 @@
 
 // Codes in TaskResult.error for a start that an agent has refused.
 const (
-	RefusedNoSlot  = "no_slot"
-	RefusedNoMemory  = "no_memory"
-	RefusedFenced  = "fenced"
-	RefusedLeaving = "leaving"
-	RefusedTableFull    = "table_full"
-	RefusedRevoked = "revoked"
+	RefusedNoSlot      = "no_slot"
+	RefusedNoMemory    = "no_memory"
+	RefusedFenced      = "fenced"
+	RefusedLeaving     = "leaving"
+	RefusedTableFull   = "table_full"
+	RefusedRevoked     = "revoked"
 	RefusedForeignHome = "foreign_home"
 )
 
--- a/dispatch/leasedcheck/nodes.go
+++ b/dispatch/leasedcheck/nodes.go
@@ -40,7 +40,7 @@
 func (e *entryNode) newCore() *dispatcher.Dispatcher {
 	return dispatcher.New(dispatcher.Options{
 		Entry: e.name, Incarnation: fmt.Sprintf("%s.%d", e.name, e.incarnation), FailureDomain: "d", Timeouts: e.w.times, Link: e.w.link,
-		Random:  e.w.rand.Float64,
+		Random:   e.w.rand.Float64,
 		Disabled: e.w.o.Disabled,
 		OnDecision: func(d dispatcher.Decision) {
 			if l := e.w.load; l != nil {
--- a/dispatch/limit/credits.go
+++ b/dispatch/limit/credits.go
@@ -48,8 +48,8 @@
 	Entry string
 	// Granted is the number of new credits, Recall the number of credits that the
 	// agent asks the entry to return.
-	Granted int
-	Recalled  int
+	Granted  int
+	Recalled int
 }
 
 // NewCredits returns credits with all slots free.
@@ -130,9 +130,9 @@
 	}
 }
 
-// Returned frees credits that an entry returned. This completes a recall, even if
+// Return frees credits that an entry returned. This completes a recall, even if
 // the entry has used some of the recalled credits in the meantime.
-func (c *Credits) Returned(entry string, n int) {
+func (c *Credits) Return(entry string, n int) {
 	h := c.entries[entry]
 	if h == nil {
 		return
@@ -144,9 +144,9 @@
 	c.granted -= n
 }
 
-// Unused frees the credits that an entry spent on a start that needs no slot
+// Refund frees the credits that an entry spent on a start that needs no slot
 // because it was refused or is a duplicate.
-func (c *Credits) Unused(entry string, units int) {
+func (c *Credits) Refund(entry string, units int) {
 	if h := c.entries[entry]; h != nil {
 		units = min(units, h.granted)
 		h.granted -= units
@@ -179,10 +179,10 @@
 	return c.recall(now, changes)
 }
 
-// Sticky grants slots that have just become free to the entry whose task they ran,
+// Regrant grants slots that have just become free to the entry whose task they ran,
 // unless another entry wants slots and would hold fewer. It returns the number of
 // credits granted; they are sent in the same frame as the result.
-func (c *Credits) Sticky(entry string, units int) int {
+func (c *Credits) Regrant(entry string, units int) int {
 	h := c.entries[entry]
 	if h == nil {
 		return 0
--- a/dispatch/limit/limit_test.go
+++ b/dispatch/limit/limit_test.go
@@ -40,11 +40,11 @@
 			case 4:
 				if len(running) > 0 {
 					c.End(running[0], 1)
-					c.Sticky(running[0], 1)
+					c.Regrant(running[0], 1)
 					running = running[1:]
 				}
 			case 5:
-				c.Returned(e, rapid.IntRange(0, 3).Draw(t, "returned"))
+				c.Return(e, rapid.IntRange(0, 3).Draw(t, "returned"))
 			case 6:
 				now = now.Add(20 * time.Millisecond)
 			case 7:
@@ -136,12 +136,12 @@
 	if diff := cmp.Diff([]Grant{{Entry: "b", Recalled: 2}}, got); diff != "" {
 		t.Errorf("recall (-want +got): %s", diff)
 	}
-	c.Returned("b", 2)
+	c.Return("b", 2)
 	if diff := cmp.Diff([]Grant{{Entry: "a", Granted: 2}}, c.Balance(epoch.Add(20*time.Millisecond), nil)); diff != "" {
 		t.Errorf("grants after the return (-want +got): %s", diff)
 	}
 	c.End("b", 1)
-	if got := c.Sticky("b", 1); got != 1 {
+	if got := c.Regrant("b", 1); got != 1 {
 		t.Errorf("entry b, which holds fewer slots than a, was granted %d credits, want 1", got)
 	}
 	c.Link("b", epoch)
--- a/dispatch/limit/limiter.go
+++ b/dispatch/limit/limiter.go
@@ -187,7 +187,7 @@
 	return 0
 }
 
-// UnblocksAt returns the earliest time at which Open may unblock a contract, zero if time
+// UnblocksAt returns the earliest time at which Unblock may unblock a contract, zero if time
 // alone unblocks none.
 func (l *Limiter) UnblocksAt(now time.Time) time.Time {
 	var at time.Time
@@ -229,8 +229,8 @@
 	TotalRun time.Duration
 	// WaitingTasks is the number of the contract's tasks that wait here, QueueWait the
 	// time that the job is expected to wait for slots.
-	WaitingTasks   int
-	QueueWait time.Duration
+	WaitingTasks int
+	QueueWait    time.Duration
 	// Entries is the number of entries.
 	Entries int
 }
--- a/dispatch/limit/shared.go
+++ b/dispatch/limit/shared.go
@@ -81,12 +81,12 @@
 // SetWant does nothing: no entry holds slots that another one wants.
 func (s *SharedSlots) SetWant(string, int) {}
 
-// Returned removes credits that an entry returned.
-func (s *SharedSlots) Returned(entry string, n int) { s.Unused(entry, n) }
+// Return removes credits that an entry returned.
+func (s *SharedSlots) Return(entry string, n int) { s.Refund(entry, n) }
 
-// Unused removes the credits that an entry spent on a start that needs no slot
+// Refund removes the credits that an entry spent on a start that needs no slot
 // because it was refused or is a duplicate.
-func (s *SharedSlots) Unused(entry string, units int) {
+func (s *SharedSlots) Refund(entry string, units int) {
 	if h := s.entries[entry]; h != nil {
 		h.granted = max(h.granted-units, 0)
 	}
@@ -159,9 +159,9 @@
 	}
 }
 
-// Sticky grants an entry the credits again that a task has used and returns their
+// Regrant grants an entry the credits again that a task has used and returns their
 // number; they are sent in the same frame as the task's result.
-func (s *SharedSlots) Sticky(entry string, units int) int {
+func (s *SharedSlots) Regrant(entry string, units int) int {
 	h := s.entries[entry]
 	if h == nil {
 		return 0
@@ -175,7 +175,7 @@
 // grants to changes.
 func (s *SharedSlots) Balance(_ time.Time, changes []Grant) []Grant {
 	for _, h := range s.order {
-		if n := s.Sticky(h.entry, s.options.Slots); n > 0 {
+		if n := s.Regrant(h.entry, s.options.Slots); n > 0 {
 			changes = append(changes, Grant{Entry: h.entry, Granted: n})
 		}
 	}
--- a/dispatch/limit/shares.go
+++ b/dispatch/limit/shares.go
@@ -58,7 +58,7 @@
 //
 // The caller must announce the entry first, and then add the members before the entry
 // serves, so that of two entries that start together at least one sees the other. It
-// must call Gone only with proof that the entry starts no more tasks, and must call
+// must call RemoveMember only with proof that the entry starts no more tasks, and must call
 // SetFenced when its own lease has lapsed, which others may take as such proof.
 //
 // What is guaranteed: new starts never take a contract over its limit. Running tasks
--- a/dispatch/member/set.go
+++ b/dispatch/member/set.go
@@ -44,7 +44,7 @@
 	DefaultExchangeInterval       = 2 * time.Second
 	DefaultDeadAfter              = 8 * time.Second
 	DefaultDeadFailures           = 3
-	DefaultAssumeStoppedAfter              = 16 * time.Second
+	DefaultAssumeStoppedAfter     = 16 * time.Second
 	DefaultLeaseTTL               = 30 * time.Second
 	DefaultCandidateRetryInterval = 5 * time.Second
 	DefaultForgetAfter            = 10 * time.Minute
--- a/dispatch/place/pool.go
+++ b/dispatch/place/pool.go
@@ -37,7 +37,7 @@
 	// Slowness is the run time of tasks on this agent relative to other agents; 1
 	// is average.
 	Slowness float64
-	Health HealthState
+	Health   HealthState
 
 	// shared is set if all entries share the agent's slots. Then spare is the
 	// number of slots expected to be free, and waiting the units of this entry that
--- a/dispatch/runner/messages.go
+++ b/dispatch/runner/messages.go
@@ -19,19 +19,19 @@
 	// based.
 	PollAge time.Duration
 	// Elapsed is how long the run lasted.
-	Elapsed time.Duration
-	FreeCapacity    size.Size
+	Elapsed      time.Duration
+	FreeCapacity size.Size
 }
 
 // Worker is a worker's report about itself.
 type Worker struct {
 	Incarnation
-	Service  string
-	Labels   []string
-	Capacity size.Size
-	Draining bool
-	ColdStart     time.Duration
-	Sequence uint64
+	Service   string
+	Labels    []string
+	Capacity  size.Size
+	Draining  bool
+	ColdStart time.Duration
+	Sequence  uint64
 }
 
 // Start asks the driver to start a run.
--- a/dispatch/runner/poll.go
+++ b/dispatch/runner/poll.go
@@ -87,16 +87,16 @@
 	Number uint64
 	Task   string
 	Run    uint32
-	Ending    Ending
+	Ending Ending
 }
 
 // PollAnswer is the worker's answer to a poll.
 type PollAnswer struct {
 	// StartUnixMs is when the answering incarnation started, as in a worker's report.
-	StartUnixMs    int64
-	Clock   time.Duration
-	Running []ListedRun
-	Ended   []End
+	StartUnixMs int64
+	Clock       time.Duration
+	Running     []ListedRun
+	Ended       []End
 }
 
 // workerNow returns the time on the worker's clock. It is never ahead of that clock by more
@@ -104,7 +104,9 @@
 func (r *Runner) workerNow(now time.Time) time.Duration { return r.clock + now.Sub(r.clockAt) }
 
 // leaseEnd returns the end of a lease that is requested now, on the worker's clock.
-func (r *Runner) leaseEnd(now time.Time) time.Duration { return r.workerNow(now) + r.opts.Timeouts.Lease }
+func (r *Runner) leaseEnd(now time.Time) time.Duration {
+	return r.workerNow(now) + r.opts.Timeouts.Lease
+}
 
 // updateClock records the worker's clock from any answer.
 func (r *Runner) updateClock(now time.Time, clock time.Duration) {
--- a/node/membership/membership.go
+++ b/node/membership/membership.go
@@ -186,7 +186,9 @@
 	var wg sync.WaitGroup
 	for _, p := range m.Peers() {
 		if p.Incarnation != m.opts.Self.Incarnation {
-			wg.Go(func() { m.exchange(context.Background(), member.ExchangeRequest{Address: p.Address, Incarnation: p.Incarnation}) })
+			wg.Go(func() {
+				m.exchange(context.Background(), member.ExchangeRequest{Address: p.Address, Incarnation: p.Incarnation})
+			})
 		}
 	}
 	return &wg
--- a/node/metrics/contract.go
+++ b/node/metrics/contract.go
@@ -101,13 +101,13 @@
 // newContract creates the series of a contract.
 func (v contractVecs) newContract(name string) *ContractMetrics {
 	c := &ContractMetrics{
-		Offered:       &Counter{counter: v.offered.WithLabelValues(name)},
-		Served:        &Counter{counter: v.served.WithLabelValues(name)},
-		Failed:        v.failed.WithLabelValues(name),
-		Unknown:       v.unknown.WithLabelValues(name),
-		TasksDispatched:  &Counter{counter: v.started.WithLabelValues(name)},
-		refused:       make(map[jobs.Code]*Counter),
-		responseRatio: v.responseRatio.WithLabelValues(name),
+		Offered:         &Counter{counter: v.offered.WithLabelValues(name)},
+		Served:          &Counter{counter: v.served.WithLabelValues(name)},
+		Failed:          v.failed.WithLabelValues(name),
+		Unknown:         v.unknown.WithLabelValues(name),
+		TasksDispatched: &Counter{counter: v.started.WithLabelValues(name)},
+		refused:         make(map[jobs.Code]*Counter),
+		responseRatio:   v.responseRatio.WithLabelValues(name),
 	}
 	for _, code := range refusalCodes {
 		c.refused[code] = &Counter{counter: v.refused.WithLabelValues(name, string(code))}
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -157,7 +157,7 @@
 	a := &Agent{
 		Process:     newProcess(reg, o, true),
 		TasksFailed: f.counter("tasks_failed_total", "Tasks that failed at the endpoint."),
-		TaskRunTime:     f.histogram("task_run_seconds", "Run time of tasks at the endpoint.", taskRunBuckets),
+		TaskRunTime: f.histogram("task_run_seconds", "Run time of tasks at the endpoint.", taskRunBuckets),
 	}
 	gauge := func(name, help string, value func(AgentState) float64) {
 		f.gaugeFunc(name, help, func() float64 { return value(a.state.read()) })
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -185,13 +185,13 @@
 	}
 	e.Entry, err = entry.New(entry.Options{
 		Hello: b.hello, CallersListen: s.CallersListen, NodesListen: s.NodesListen, OperatorsListen: s.OperatorsListen,
-		Contract:    e.config.Contract,
-		Contracts:   func() []*pb.Contract { return e.config.Snapshot().All() },
-		Peers:       func() []*pb.Peer { return e.membership.Peers() },
-		FindPeer:    func(incarnation string) *pb.Peer { return e.membership.Find(incarnation) },
-		HandleExchange:    func(state *pb.PeerState) *pb.PeerState { return e.membership.Serve(state) },
-		ExchangeNow: func() { e.membership.ExchangeNow() },
-		StoreError:  func() string { return e.membership.StoreError() },
+		Contract:       e.config.Contract,
+		Contracts:      func() []*pb.Contract { return e.config.Snapshot().All() },
+		Peers:          func() []*pb.Peer { return e.membership.Peers() },
+		FindPeer:       func(incarnation string) *pb.Peer { return e.membership.Find(incarnation) },
+		HandleExchange: func(state *pb.PeerState) *pb.PeerState { return e.membership.Serve(state) },
+		ExchangeNow:    func() { e.membership.ExchangeNow() },
+		StoreError:     func() string { return e.membership.StoreError() },
 
 		ConfigRevision: func() uint64 { return e.config.Snapshot().CompleteUpTo() },
 		Ready:          e.ready,
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -129,7 +129,7 @@
 	e.roster = roster.New(roster.Options{
 		Store: e.store, Name: s.Name, Address: s.AdvertisedAddress(), Logger: e.logger,
 		ListInterval: func() time.Duration { return listInterval(len(e.dispatcher.Entries())) },
-		NoPeers:     func() bool { return len(e.dispatcher.Entries()) < 2 },
+		NoPeers:      func() bool { return len(e.dispatcher.Entries()) < 2 },
 	})
 	e.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.EntryTimeout.Milliseconds(),
 		"lease_ms", times.Lease.Milliseconds(), "give_up_ms", times.ReconnectTimeout.Milliseconds())
--- a/node/roster/roster.go
+++ b/node/roster/roster.go
@@ -37,8 +37,8 @@
 	ListInterval func() time.Duration
 	// NoPeers reports whether the entry knows no other. If that is so shortly after Run
 	// begins, the list is read at once.
-	NoPeers  func() bool
-	Logger *slog.Logger
+	NoPeers func() bool
+	Logger  *slog.Logger
 }
 
 // Roster keeps one entry on the list.
