--- a/cmd/internal/site/relay.go
+++ b/cmd/internal/site/relay.go
@@ -125,7 +125,7 @@
 	r.cut = true
 }
 
-// Heal ends a Cut.
+// Heal ends a Partition.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -49,7 +49,7 @@
 	return ErrPromise.New("%d findings; the first after %v: %s: %s", len(r.Findings), f.At.Round(time.Millisecond), f.Promise, f.What)
 }
 
-// Names of the files that Run leaves in Options.Keep.
+// Names of the files that Run leaves in Options.OutputDir.
 const (
 	ScheduleFile = "schedule.json"
 	ReportFile   = "report.json"
--- a/dispatch/bounds/bounds.go
+++ b/dispatch/bounds/bounds.go
@@ -1,25 +1,25 @@
 // Package bounds derives the timeouts that keep an entry, an agent and a worker
 // under a lease from running a task twice at the same time.
 //
-// A caller whose connection broke sends its job again after Resend, to any entry,
+// A caller whose connection broke sends its job again after ResendAfter, to any entry,
 // which starts the tasks anew without knowing about the first entry's runs. All of
 // those must have ended by then, whatever failed:
 //
 //   - The entry is alive and reaches the agent: it stops them immediately.
-//   - The entry is gone, frozen or partitioned: the agent stops them Silence after
-//     the last frame from the entry, and a stop takes up to Stop.
+//   - The entry is gone, frozen or partitioned: the agent stops them EntryTimeout after
+//     the last frame from the entry, and a stop takes up to StopTime.
 //   - The agent is also gone, frozen or partitioned from its worker: the lease ends
 //     them, at most Lease after its last renewal by the worker's clock, which may be
 //     slow by ClockError.
 //
-// The entry abandons a job no sooner than GiveUp after it lost the link that the
+// The entry abandons a job no sooner than ReconnectTimeout after it lost the link that the
 // job's runs are on. All values must therefore satisfy
 //
-//	Silence + Stop + Lease*(1+ClockError) + Slack <= GiveUp + Resend
+//	EntryTimeout + StopTime + Lease*(1+ClockError) + Slack <= ReconnectTimeout + ResendAfter
 //
 // and, for a caller that disconnects by itself while entry or agent fails,
 //
-//	max(Silence + Stop, Lease*(1+ClockError)) + Slack <= Resend.
+//	max(EntryTimeout + StopTime, Lease*(1+ClockError)) + Slack <= ResendAfter.
 package bounds
 
 import (
@@ -56,7 +56,7 @@
 	// before it abandons the jobs on it.
 	ReconnectTimeout time.Duration
 	// MaxOrderDelay is the delay up to which an order that arrives is still started. It
-	// must be below Silence, so that a stale order does not start after its entry
+	// must be below EntryTimeout, so that a stale order does not start after its entry
 	// has timed out.
 	MaxOrderDelay time.Duration
 	// RunsEndedAfter is how long after an entry's last frame to an unreachable agent all
@@ -71,15 +71,15 @@
 	// Slack covers timers that fire late, messages in flight, and CPU throttling: a
 	// process that has used up its CPU quota is paused for up to 100 ms.
 	Slack = 150 * time.Millisecond
-	// entryTimeoutFraction is Silence as a fraction of Resend. It leaves time for Stop
+	// entryTimeoutFraction is EntryTimeout as a fraction of ResendAfter. It leaves time for StopTime
 	// and a lease after it, and is long enough to establish a new connection.
 	entryTimeoutFraction = 0.45
-	// reconnectFraction is GiveUp as a fraction of Resend: the time for an agent to
+	// reconnectFraction is ReconnectTimeout as a fraction of ResendAfter: the time for an agent to
 	// come back on a new connection.
 	reconnectFraction = 0.3
-	// leaseFraction is the longest lease as a fraction of Resend.
+	// leaseFraction is the longest lease as a fraction of ResendAfter.
 	leaseFraction = 0.6
-	// orderDelayFraction is MaxLate as a fraction of Silence.
+	// orderDelayFraction is MaxOrderDelay as a fraction of EntryTimeout.
 	orderDelayFraction = 0.3
 	// defaultResend, defaultLease and defaultStop apply to deployments that don't set
 	// theirs. They allow for a few of the shortest common tasks.
@@ -88,7 +88,7 @@
 	defaultStop   = 50 * time.Millisecond
 )
 
-// Derive returns times that satisfy the bounds, or ErrTooTight.
+// Derive returns times that satisfy the bounds, or ErrUnsatisfiable.
 func Derive(g Params) (Timeouts, error) {
 	resend := cmp.Or(g.ResendAfter, defaultResend)
 	t := Timeouts{
--- a/dispatch/bounds/bounds_test.go
+++ b/dispatch/bounds/bounds_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A caller sends its job again after Resend. Whatever has failed, the first entry's
+// A caller sends its job again after ResendAfter. Whatever has failed, the first entry's
 // runs must have ended by then; otherwise a task would run twice at the same time.
 func TestRunsEndBeforeTheJobIsSentAgain(t *testing.T) {
 	for _, g := range []Params{
--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -108,7 +108,7 @@
 		needed = s.CPUMillis
 	}
 	// The prediction isn't advanced by the age of the report: what was released
-	// since then, other entries have taken as well. See forecast.Frees.
+	// since then, other entries have taken as well. See forecast.Releases.
 	return a.releases.Wait(needed)
 }
 
--- a/dispatch/dispatcher/dispatcher.go
+++ b/dispatch/dispatcher/dispatcher.go
@@ -161,7 +161,7 @@
 	Answers []Answer
 	// Close lists the agents, by incarnation, whose links must be closed.
 	Close []string
-	// AgentRequests holds requests to other entries for agents; see Invite.
+	// AgentRequests holds requests to other entries for agents; see InviteAgents.
 	AgentRequests []AgentRequest
 }
 
--- a/dispatch/dispatcher/suspension.go
+++ b/dispatch/dispatcher/suspension.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// SuspensionDetector detects that the process was suspended recently. What it reads then may have been
-// queued in its sockets all that time: a caller that has long closed its connection and sent
+// SuspensionDetector detects that the process was suspended recently. What it reads then may
+// have been queued in its sockets all that time: a caller that has long closed its connection and sent
 // its job again elsewhere looks like a new one, and its tasks would run twice at a time. So
 // for a short time after a suspension, a new job is held until the end of its connection
 // would have been read as well. A SuspensionDetector is safe for concurrent use.
--- a/dispatch/door/doc.go
+++ b/dispatch/door/doc.go
@@ -23,7 +23,7 @@
 // after it was confirmed. While the service is down, announcements lapse and no entry
 // serves keys. Callers that need higher availability put a home token into their ids.
 //
-// A Door does no I/O, reads no clock, and must not be used by several goroutines
+// A Resolver does no I/O, reads no clock, and must not be used by several goroutines
 // concurrently. Times are those of the local wall clock. Clocks of callers and
 // entries may differ by up to Skew.
 package door
--- a/dispatch/door/door.go
+++ b/dispatch/door/door.go
@@ -9,7 +9,7 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// Options configure a Door. Zero fields take their defaults.
+// Options configure a Resolver. Zero fields take their defaults.
 type Options struct {
 	// Skew bounds the difference between the clocks of callers and entries. Default 2 s.
 	Skew time.Duration
@@ -54,7 +54,7 @@
 	removedAt time.Time
 }
 
-// New returns a Door for the entry with the given incarnation.
+// New returns a Resolver for the entry with the given incarnation.
 func New(self string, opts Options) *Resolver {
 	return &Resolver{opts: opts.WithDefaults(), self: self, members: make(map[string]*member)}
 }
@@ -71,7 +71,7 @@
 }
 
 // ApplyList applies the whole list of announced entries. ReadAt is a time before the
-// call that read the list and after Announced. Call ApplyList also when an announcement
+// call that read the list and after AnnouncementRenewed. Call ApplyList also when an announcement
 // is reported to be gone.
 func (d *Resolver) ApplyList(now, readAt time.Time, incarnations []string) {
 	for inc, m := range d.members {
--- a/dispatch/door/door_test.go
+++ b/dispatch/door/door_test.go
@@ -15,7 +15,7 @@
 	step     = 50 * time.Millisecond
 )
 
-// process is one entry with its Door. Its clock is off by up to a quarter of the
+// process is one entry with its Resolver. Its clock is off by up to a quarter of the
 // allowed skew.
 type process struct {
 	name        string
--- a/dispatch/entry/doc.go
+++ b/dispatch/entry/doc.go
@@ -2,7 +2,7 @@
 // their tasks run, and how each caller is answered.
 //
 // An Entry is a state machine without I/O. The driver calls the input methods
-// (Submit, Cancel, Recover, AgentSeen, LinkUp, LinkDown, Step, Tick, Leave) with
+// (Submit, Cancel, Recover, AgentAnnounced, LinkUp, LinkDown, Step, Tick, Leave) with
 // the current time, then calls Ready and carries out what it returns: agents to
 // dial, frames to send, answers for waiting callers. No method blocks. The driver
 // must serialize all calls; an Entry starts no goroutine and reads no clock.
--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -190,7 +190,7 @@
 	endedRecoveries []*recovery          // ended ones, oldest first
 
 	leaving bool
-	exiting bool // set by End
+	exiting bool // set by NotifyExit
 	ready   Ready
 }
 
--- a/dispatch/estimate/estimate.go
+++ b/dispatch/estimate/estimate.go
@@ -82,7 +82,7 @@
 	Memory uint64
 	// Run is the expected run time.
 	Run time.Duration
-	// MinRun is the run time below which hardly any task of the kind ended. LikelyRun is the
+	// MinRun is the run time below which hardly any task of the kind ended. MedianRun is the
 	// run time within which half of them ended. Both are zero if they are not known well enough
 	// to refuse a job because of them.
 	MinRun    time.Duration
--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -17,7 +17,7 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// Options configures a Judge. Zero fields take the defaults.
+// Options configures a Tracker. Zero fields take the defaults.
 type Options struct {
 	// FirstBackoff is how long the first suspension lasts. Each failed trial doubles it, up to
 	// MaxBackoff.
@@ -100,7 +100,7 @@
 	suspended int
 }
 
-// New returns a Judge without agents.
+// New returns a Tracker without agents.
 func New(options Options) *Tracker {
 	options.FirstBackoff = cmp.Or(options.FirstBackoff, DefaultFirstBackoff)
 	options.MaxBackoff = cmp.Or(options.MaxBackoff, DefaultMaxBackoff)
--- a/dispatch/limit/credits.go
+++ b/dispatch/limit/credits.go
@@ -46,7 +46,7 @@
 // Grant is a change for one entry.
 type Grant struct {
 	Entry string
-	// Granted is the number of new credits, Recall the number of credits that the
+	// Granted is the number of new credits, Recalled the number of credits that the
 	// agent asks the entry to return.
 	Granted  int
 	Recalled int
@@ -249,7 +249,7 @@
 	return best
 }
 
-// recall asks entries that left credits unused for Damping to return what others
+// recall asks entries that left credits unused for RecallDelay to return what others
 // want.
 func (c *Credits) recall(now time.Time, changes []Grant) []Grant {
 	wanted := 0
--- a/dispatch/member/set.go
+++ b/dispatch/member/set.go
@@ -19,7 +19,7 @@
 	DeadAfter    time.Duration
 	DeadFailures int
 	// AssumeStoppedAfter is the time without messages from an entry after which it may be
-	// assumed to start no more tasks; see Starters. It must exceed DeadAfter by more
+	// assumed to start no more tasks; see PossibleStarters. It must exceed DeadAfter by more
 	// than clock differences and process pauses can account for.
 	AssumeStoppedAfter time.Duration
 	// LeaseTTL is the TTL of the announcements in the store.
@@ -75,7 +75,7 @@
 }
 
 // ExchangeRequest is an exchange that the driver has to perform. The driver reports the result
-// with Heard or Failed. Incarnation is empty for a request to a join address.
+// with ReceiveState or ExchangeFailed. Incarnation is empty for a request to a join address.
 type ExchangeRequest struct {
 	Address     string
 	Incarnation string
@@ -94,7 +94,7 @@
 	failures       int       // failed exchanges in a row
 	lastListed     time.Time // last listed by the store or an entry, or dropped as a member
 	firstListed    time.Time // first listed
-	assumedStopped bool      // assumed to start no more tasks; see Starters
+	assumedStopped bool      // assumed to start no more tasks; see PossibleStarters
 
 	member         bool
 	joinedAt       time.Time // when it last became a member
--- a/dispatch/member/starters.go
+++ b/dispatch/member/starters.go
@@ -13,8 +13,8 @@
 // An entry is omitted once it is proven to have ended, by its own last message or by
 // another process at its address. A crashed entry gives no such proof, and its
 // shares would be unusable until it is replaced at the same address. An entry is
-// therefore also omitted if nothing was received from it for Options.GoneAfter, and
-// either the store has been reachable for longer than a lease lasts and does not
+// therefore also omitted if nothing was received from it for Options.AssumeStoppedAfter,
+// and either the store has been reachable for longer than a lease lasts and does not
 // list the entry, or the store has been unreachable for that long and this entry
 // receives messages from a majority of the entries that it knows. If the omitted
 // entry still runs, it is Fenced by then on its own side: it is in contact with no
--- a/dispatch/place/queue.go
+++ b/dispatch/place/queue.go
@@ -497,7 +497,7 @@
 }
 
 // Infeasible returns a job that can no longer meet its deadline, since less than
-// MinRun is left, or nil. It examines only the first job of each contract, which
+// MinRunTime is left, or nil. It examines only the first job of each contract, which
 // would be started next. The caller removes the job and calls Infeasible again.
 func (q *Queue) Infeasible(now time.Time) *Job {
 	var first *Job
--- a/dispatch/subset/subset_test.go
+++ b/dispatch/subset/subset_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Up to Links entries the site is a full mesh, in whatever order they are listed.
+// Up to LinksPerAgent entries the site is a full mesh, in whatever order they are listed.
 func TestSmallSitesAreAFullMesh(t *testing.T) {
 	entries := names("10.0.0", LinksPerAgent)
 	if diff := cmp.Diff(entries, First("agent", entries, LinksPerAgent)); diff != "" {
--- a/dispatch/tally/tally.go
+++ b/dispatch/tally/tally.go
@@ -3,7 +3,7 @@
 // entry answers a request for the count from its own view. At rest no job waits that long, and
 // nothing is sent.
 //
-// The count is eventually consistent: SettleFor and the propagation to all entries together
+// The count is eventually consistent: MinWait and the propagation to all entries together
 // take less than the two seconds by which it may be old. The package does no I/O and reads no
 // clock; callers must serialize all calls.
 package tally
@@ -72,7 +72,7 @@
 // Changes returns a number that grows when there is something new to send.
 func (v *View) Changes() uint64 { return v.changes }
 
-// SetOwn sets how many jobs have waited at this entry for SettleFor, by queue.
+// SetOwn sets how many jobs have waited at this entry for MinWait, by queue.
 func (v *View) SetOwn(now time.Time, jobs map[string]int) {
 	var counts []Count
 	for _, queue := range slices.Sorted(maps.Keys(jobs)) {
--- a/node/config/editor.go
+++ b/node/config/editor.go
@@ -44,8 +44,8 @@
 // Apply makes a change and returns the revision that it created. It is idempotent:
 // a change that was applied before with the same id is not applied again. Errors
 // are of type contract.ErrInvalid, contract.ErrConflict, contract.ErrMalformed,
-// ErrUnavailable, ErrRefused or ErrNotKnown. Nothing was changed unless the error
-// is ErrNotKnown.
+// ErrUnavailable, ErrRefused or ErrOutcomeUnknown. Nothing was changed unless the error
+// is ErrOutcomeUnknown.
 func (e *Editor) Apply(ctx context.Context, change contract.Change) (uint64, error) {
 	a := attempt{editor: e, change: change}
 	for attempts := 1; ; attempts++ {
@@ -246,7 +246,7 @@
 }
 
 // Resolve determines the outcome of a pending change. The result
-// contract.NotKnown means that the change is not found applied so far and that it
+// contract.Unknown means that the change is not found applied so far and that it
 // can't be ruled out; see contract.Resolve.
 func (e *Editor) Resolve(ctx context.Context, p PendingChange) (contract.Resolution, uint64, error) {
 	stored, err := e.record(ctx, p.Contract)
--- a/node/config/editor_test.go
+++ b/node/config/editor_test.go
@@ -32,7 +32,7 @@
 
 // The store fails while an operator changes a contract. The result must be
 // accurate: success only if the change was applied, an error other than
-// ErrNotKnown only if it was not. In no case is the change applied twice.
+// ErrOutcomeUnknown only if it was not. In no case is the change applied twice.
 func TestApplyDuringStoreFaults(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -81,9 +81,9 @@
 }
 
 // The write takes effect, its answer is lost, and the store becomes unavailable, so
-// that Apply returns ErrNotKnown. A later retry with the same id must report that
+// that Apply returns ErrOutcomeUnknown. A later retry with the same id must report that
 // the change was applied, and must not apply it twice.
-func TestRetryAfterNotKnown(t *testing.T) {
+func TestRetryAfterOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := kv.New(kv.Options{})
 		e := newEditor(server)
--- a/node/config/errors.go
+++ b/node/config/errors.go
@@ -30,7 +30,7 @@
 }
 
 // PendingOf returns the change whose outcome is unknown if err is of type
-// ErrNotKnown.
+// ErrOutcomeUnknown.
 func PendingOf(err error) (PendingChange, bool) {
 	property, _ := errorx.ExtractProperty(err, pendingProperty)
 	pending, ok := property.(PendingChange)
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -63,7 +63,7 @@
 )
 
 // leasedLinkOptions returns the time-outs of links between entries and agents. An
-// agent stops the runs of a lost link once t.Silence has passed, so a broken link must
+// agent stops the runs of a lost link once t.EntryTimeout has passed, so a broken link must
 // be detected well before that.
 func leasedLinkOptions(t bounds.Timeouts) link.Options {
 	return link.Options{
--- a/node/settings/leased.go
+++ b/node/settings/leased.go
@@ -58,7 +58,7 @@
 	ProcessorShare float64    `json:"processor_share"`
 	MemoryMB       uint32     `json:"memory_mb"`
 	LogLevel       slog.Level `json:"log_level"`
-	// Disabled lists the disabled features; see package without. It is meant for
+	// Disabled lists the disabled features; see package disabled. It is meant for
 	// developers.
 	Disabled []string `json:"without"`
 }
