--- a/dispatch/without/without.go
+++ b/dispatch/disabled/disabled.go
@@ -1,7 +1,7 @@
-// Package without names the features of the decisions on workers with leases that can be
+// Package disabled names the features of the decisions on workers with leases that can be
 // disabled one by one, so that the worth of each can be measured. It is for developers: no
 // guarantee depends on a feature listed here, and a deployment has no reason to disable one.
-package without
+package disabled
 
 import (
 	"slices"
--- a/dispatch/without/without_test.go
+++ b/dispatch/disabled/disabled_test.go
@@ -1,4 +1,4 @@
-package without
+package disabled
 
 import (
 	"testing"
--- a/dispatch/dispatcher/admit.go
+++ b/dispatch/dispatcher/admit.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // refusal returns why a job can't be admitted regardless of load; nil: it can.
@@ -19,7 +19,7 @@
 		// Other entries have free capacity now, so the caller needn't wait for long.
 		return refuse(ReasonShuttingDown, false, minRetryAfter)
 	}
-	if d.runTimes[j.queue.Name].lowerBound(j.criticalPath) > j.deadline.Sub(now) && !d.opts.Disabled.Has(without.Abandonment) {
+	if d.runTimes[j.queue.Name].lowerBound(j.criticalPath) > j.deadline.Sub(now) && !d.opts.Disabled.Has(disabled.Abandonment) {
 		return refuse(ReasonInfeasible, true, 0)
 	}
 	known, fits := d.fits(j)
--- a/dispatch/dispatcher/dispatcher.go
+++ b/dispatch/dispatcher/dispatcher.go
@@ -7,6 +7,7 @@
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 	"github.com/papayahoist/papayahoist/dispatch/bounds"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/evacuation"
 	"github.com/papayahoist/papayahoist/dispatch/event"
 	"github.com/papayahoist/papayahoist/dispatch/health"
@@ -14,7 +15,6 @@
 	"github.com/papayahoist/papayahoist/dispatch/link"
 	"github.com/papayahoist/papayahoist/dispatch/size"
 	"github.com/papayahoist/papayahoist/dispatch/subset"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // Options configure a Dispatcher.
@@ -36,7 +36,7 @@
 	Random func() float64
 	Health health.Options
 	// Disabled is the set of disabled features, to measure what each is worth.
-	Disabled without.Set
+	Disabled disabled.Set
 	// Events records events for the time line; nil: no recording.
 	Events *event.Ring
 	// OnDecision is called with each decision, for the log; nil: no logging.
--- a/dispatch/dispatcher/frames.go
+++ b/dispatch/dispatcher/frames.go
@@ -4,9 +4,9 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/internal/indexheap"
 	"github.com/papayahoist/papayahoist/dispatch/link"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // An input concerns few agents, so only those that it touches are processed after it:
@@ -42,7 +42,7 @@
 // refused recently, and ends that request afterwards.
 func (d *Dispatcher) updateExpedite(now time.Time) {
 	for service, w := range d.waitlists {
-		if expedite := (len(w.jobs) > 0 || now.Sub(w.refusedAt) < expediteAfterRefusal) && !d.opts.Disabled.Has(without.Expedite); expedite != w.expedite {
+		if expedite := (len(w.jobs) > 0 || now.Sub(w.refusedAt) < expediteAfterRefusal) && !d.opts.Disabled.Has(disabled.Expedite); expedite != w.expedite {
 			w.expedite = expedite
 			d.setExpedite(service, expedite)
 		}
--- a/dispatch/dispatcher/invite.go
+++ b/dispatch/dispatcher/invite.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/place"
 	"github.com/papayahoist/papayahoist/dispatch/size"
 	"github.com/papayahoist/papayahoist/dispatch/subset"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // In a fleet an entry is linked to a subset of the agents. Other entries may have what it
@@ -49,7 +49,7 @@
 
 // partiallyLinked reports whether some agents have no link to this entry by design.
 func (d *Dispatcher) partiallyLinked() bool {
-	return len(d.entries) > subset.LinksPerAgent && !d.opts.Disabled.Has(without.Invitations)
+	return len(d.entries) > subset.LinksPerAgent && !d.opts.Disabled.Has(disabled.Invitations)
 }
 
 // requestAgents asks other entries for agents that may run a step's tasks, subject to backoff.
--- a/dispatch/dispatcher/late.go
+++ b/dispatch/dispatcher/late.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // Late work belongs to jobs that can't end within their objective but whose answers are
@@ -49,10 +49,10 @@
 // while work starts as predicted: otherwise they take capacity that the next jobs need to meet
 // their objectives.
 func (d *Dispatcher) admitsLate(now time.Time) bool {
-	if d.opts.Disabled.Has(without.LateWork) {
+	if d.opts.Disabled.Has(disabled.LateWork) {
 		return false
 	}
-	if d.opts.Disabled.Has(without.LateCompletion) {
+	if d.opts.Disabled.Has(disabled.LateCompletion) {
 		return true
 	}
 	return d.startsAsPredicted(now) && d.lateCompletion.value(now) >= minLateCompletion
--- a/dispatch/dispatcher/learn.go
+++ b/dispatch/dispatcher/learn.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // runTimeModel predicts the run times of a queue's tasks from their estimates. An estimate
@@ -109,7 +109,7 @@
 	if estimated <= 0 {
 		estimated = defaultEstimate
 	}
-	if d.opts.Disabled.Has(without.Learning) {
+	if d.opts.Disabled.Has(disabled.Learning) {
 		return
 	}
 	m.observe(estimated, ran)
--- a/dispatch/dispatcher/margin.go
+++ b/dispatch/dispatcher/margin.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // waitMargin tracks by how much the tasks of a queue recently exceeded their predicted waits,
@@ -82,7 +82,7 @@
 
 // marginFor returns the margin that applies to a job that has not been admitted yet.
 func (d *Dispatcher) marginFor(now time.Time, j *job) time.Duration {
-	if j.late || j.ordered || d.opts.Disabled.Has(without.WaitMargin) {
+	if j.late || j.ordered || d.opts.Disabled.Has(disabled.WaitMargin) {
 		return 0
 	}
 	return d.waitMargins[j.queue.Name].value(now)
--- a/dispatch/dispatcher/move.go
+++ b/dispatch/dispatcher/move.go
@@ -4,9 +4,9 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/health"
 	"github.com/papayahoist/papayahoist/dispatch/place"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // runProgress is the progress of a run that is slower than expected.
@@ -39,7 +39,7 @@
 	o.progress = runProgress{now, time.Duration(n.RunMs) * time.Millisecond, time.Duration(n.RemainingMs) * time.Millisecond}
 	d.reportHealth(now, o.agent, o.task.job, health.Result{Run: relativeRun(o.progress.ran+o.progress.remaining, o.expected)})
 	d.considerMove(now, o)
-	if !o.stopped && !o.task.job.ended && !d.opts.Disabled.Has(without.Abandonment) && now.Add(o.progress.remaining).After(o.task.job.deadline) {
+	if !o.stopped && !o.task.job.ended && !d.opts.Disabled.Has(disabled.Abandonment) && now.Add(o.progress.remaining).After(o.task.job.deadline) {
 		// Overlong runs never end here; without them the queue's run times would
 		// seem shorter than they are.
 		j := o.task.job
@@ -76,7 +76,7 @@
 // with a task of the same step, or its worker compared with others.
 func (d *Dispatcher) considerMove(now time.Time, o *order) {
 	j := o.task.job
-	if o.stopped || j.ended || d.opts.Disabled.Has(without.Moves) {
+	if o.stopped || j.ended || d.opts.Disabled.Has(disabled.Moves) {
 		return
 	}
 	s := &j.steps[o.task.step]
--- a/dispatch/dispatcher/orders.go
+++ b/dispatch/dispatcher/orders.go
@@ -5,11 +5,11 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/health"
 	"github.com/papayahoist/papayahoist/dispatch/place"
 	"github.com/papayahoist/papayahoist/dispatch/runner"
 	"github.com/papayahoist/papayahoist/dispatch/size"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // order is an instruction to an agent to start one run of a task.
@@ -121,7 +121,7 @@
 		return
 	}
 	d.requeue(j, t)
-	if !d.opts.Disabled.Has(without.Abandonment) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
+	if !d.opts.Disabled.Has(disabled.Abandonment) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
 		// Its answer would be of no use, and its other tasks would only take capacity.
 		d.abandon(now, j, ReasonNoFreeWorker)
 		return
@@ -192,7 +192,7 @@
 }
 
 func (d *Dispatcher) reportHealth(now time.Time, a *agent, j *job, r health.Result) {
-	if d.opts.Disabled.Has(without.Health) {
+	if d.opts.Disabled.Has(disabled.Health) {
 		return
 	}
 	r.Contract = j.queue.Name
--- a/dispatch/dispatcher/place.go
+++ b/dispatch/dispatcher/place.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/place"
 	"github.com/papayahoist/papayahoist/dispatch/subset"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // waitlist holds the jobs of one service that have tasks to place, in order of precedence:
@@ -179,7 +179,7 @@
 	if suspected {
 		remaining = n
 	}
-	if d.opts.Disabled.Has(without.WorkerSubset) {
+	if d.opts.Disabled.Has(disabled.WorkerSubset) {
 		remaining = n
 	}
 	for range n {
@@ -223,7 +223,7 @@
 
 // overtakeFactor returns how many times longer than the work ahead of it a task of a job waits.
 func (d *Dispatcher) overtakeFactor(now time.Time, j *job) float64 {
-	if d.opts.Disabled.Has(without.Overtaking) {
+	if d.opts.Disabled.Has(disabled.Overtaking) {
 		return 1
 	}
 	return d.waitlist(j.queue.Service).mix.overtakeFactor(now, j.urgency())
--- a/dispatch/dispatcher/startup.go
+++ b/dispatch/dispatcher/startup.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // recordFirstInput records the time of the first input.
@@ -23,13 +23,13 @@
 // milliseconds before all agents are. Jobs that find no worker are held meanwhile, and
 // admitted or refused when the agents are linked.
 func (d *Dispatcher) startingUp(now time.Time) bool {
-	return now.Before(d.startupEnd()) && !d.opts.Disabled.Has(without.HeldJobs)
+	return now.Before(d.startupEnd()) && !d.opts.Disabled.Has(disabled.HeldJobs)
 }
 
 // admitOrHold admits a new job, or holds it while the entry starts up.
 func (d *Dispatcher) admitOrHold(now time.Time, j *job) ([]placement, *Answer) {
 	chosen, refused := d.admit(now, j)
-	if refused != nil && now.Before(d.admitBy(j)) && !d.opts.Disabled.Has(without.HeldJobs) {
+	if refused != nil && now.Before(d.admitBy(j)) && !d.opts.Disabled.Has(disabled.HeldJobs) {
 		j.held, j.late = true, false
 		return nil, nil
 	}
--- a/dispatch/dispatcher/wait.go
+++ b/dispatch/dispatcher/wait.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // maxWait returns how long a task may be expected to wait for free capacity at a worker: until
@@ -23,7 +23,7 @@
 // the given time. Beyond it the prediction has proved wrong, and the task is offered elsewhere.
 func (d *Dispatcher) maxOrderWait(now time.Time, t *task, expected time.Duration) time.Duration {
 	useful := max(0, t.latestStart().Sub(now))
-	if d.opts.Disabled.Has(without.OrderWaitLimit) {
+	if d.opts.Disabled.Has(disabled.OrderWaitLimit) {
 		return useful
 	}
 	return min(useful, max(t.job.minOrderWait, orderWaitFactor*expected))
--- a/dispatch/leasedcheck/load_test.go
+++ b/dispatch/leasedcheck/load_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // mixedKinds are urgent jobs of many short tasks, jobs of two tasks, which are the
@@ -78,7 +78,7 @@
 	t.Parallel()
 	enabled := overloadResult()
 	score := func(r LoadResult) float64 { return r.Value - r.share(heldWithoutAnswer) }
-	for name, feature := range map[string]without.Set{"margin": without.WaitMargin, "late-yield": without.LateCompletion} {
+	for name, feature := range map[string]disabled.Set{"margin": disabled.WaitMargin, "late-yield": disabled.LateCompletion} {
 		o := fleet
 		o.Disabled = feature
 		if r := runSeeds(o, overload); score(r) >= score(enabled) {
--- a/dispatch/leasedcheck/world.go
+++ b/dispatch/leasedcheck/world.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/papayahoist/papayahoist/dispatch/bounds"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/link"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // Options of a run.
@@ -29,7 +29,7 @@
 	// that crash their worker and changes of capacity.
 	WorkerRestarts bool
 	// Disabled is the set of disabled features.
-	Disabled without.Set
+	Disabled disabled.Set
 	// Trace, if not nil, is called with each event.
 	Trace func(string)
 }
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -5,9 +5,9 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/link"
 	"github.com/papayahoist/papayahoist/dispatch/size"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // entry is the state of one entry process that this agent has had a link with.
@@ -226,7 +226,7 @@
 		deadline:  now.Add(time.Duration(o.LimitMs) * time.Millisecond),
 		startBy:   now.Add(time.Duration(o.StartByMs) * time.Millisecond), late: o.StartByMs < 0,
 	}
-	if r.opts.Disabled.Has(without.StartBy) {
+	if r.opts.Disabled.Has(disabled.StartBy) {
 		x.startBy = now
 	}
 	if reason := r.refusalReason(now, x, delay); reason != "" {
--- a/dispatch/runner/queue.go
+++ b/dispatch/runner/queue.go
@@ -5,8 +5,8 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/forecast"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // mustWait reports whether an order can't start at once. An order that fits must still wait if
@@ -110,7 +110,7 @@
 			next = x
 		}
 	}
-	if r.opts.Disabled.Has(without.Backfill) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
+	if r.opts.Disabled.Has(disabled.Backfill) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
 		return head
 	}
 	frees := r.releaseForecast(now)
--- a/dispatch/runner/runner.go
+++ b/dispatch/runner/runner.go
@@ -6,11 +6,11 @@
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 	"github.com/papayahoist/papayahoist/dispatch/bounds"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/evacuation"
 	"github.com/papayahoist/papayahoist/dispatch/event"
 	"github.com/papayahoist/papayahoist/dispatch/link"
 	"github.com/papayahoist/papayahoist/dispatch/size"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // Options configures a Runner.
@@ -24,7 +24,7 @@
 	// higher one, or raise it when the worker says so.
 	Token uint64
 	// Disabled is the set of disabled features, used to measure what each is worth.
-	Disabled without.Set
+	Disabled disabled.Set
 	// Events receives events for the time line; nil records none.
 	Events *event.Ring
 	// OnDecision is called with each decision, for the log; it may be nil.
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	corerunner "github.com/papayahoist/papayahoist/dispatch/runner"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 	"github.com/papayahoist/papayahoist/node/decisionlog"
 	"github.com/papayahoist/papayahoist/node/entry"
 	"github.com/papayahoist/papayahoist/node/roster"
@@ -56,7 +56,7 @@
 		return nil, ErrStart.Wrap(err, "listen for the worker's reports")
 	}
 	incarnation := entry.NewIncarnation()
-	disabled, err := without.Parse(s.Disabled)
+	features, err := disabled.Parse(s.Disabled)
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
@@ -69,7 +69,7 @@
 			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
 			// The start time is the fencing token: a later process beside the same worker
 			// has a higher one.
-			Token: uint64(time.Now().UnixMilli()), Disabled: disabled, OnDecision: runnerLogger(a.log, a.metrics),
+			Token: uint64(time.Now().UnixMilli()), Disabled: features, OnDecision: runnerLogger(a.log, a.metrics),
 		},
 	})
 	a.recorder = workerrecord.New(workerrecord.Options{Store: client, Agent: s.Name, Logger: a.logger})
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"github.com/papayahoist/papayahoist/dispatch/bounds"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	coredispatcher "github.com/papayahoist/papayahoist/dispatch/dispatcher"
 	"github.com/papayahoist/papayahoist/dispatch/link"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 	"github.com/papayahoist/papayahoist/node/decisionlog"
 	"github.com/papayahoist/papayahoist/node/dispatcher"
 	"github.com/papayahoist/papayahoist/node/entry"
@@ -101,7 +101,7 @@
 	e := &LeasedEntry{opts: o, log: decisionlog.New(o.Out, slog.String("process", s.Name)), metrics: newLeasedMetrics()}
 	e.logger = slog.New(e.log.Handler())
 	incarnation := entry.NewIncarnation()
-	disabled, err := without.Parse(s.Disabled)
+	features, err := disabled.Parse(s.Disabled)
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
@@ -111,7 +111,7 @@
 		Core: coredispatcher.Options{
 			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
 			RemoteFactor: s.Bounds.RemoteFactor, ReportsPerSecond: reportsPerCore * s.ProcessorShare,
-			Random: rand.Float64, Disabled: disabled, OnDecision: dispatcherLogger(e.log, e.metrics),
+			Random: rand.Float64, Disabled: features, OnDecision: dispatcherLogger(e.log, e.metrics),
 		},
 	})
 	if err != nil {
--- a/node/settings/leased.go
+++ b/node/settings/leased.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/without"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 )
 
 // Roles of processes for workers that run tasks under leases. The platform stores
@@ -157,8 +157,8 @@
 }
 
 func (v *validator) disabledFeatures(key string, list []string) {
-	if _, err := without.Parse(list); err != nil {
-		v.addWrongValue(key, strings.Join(list, ", "), "any of "+strings.Join(without.Names(), ", "))
+	if _, err := disabled.Parse(list); err != nil {
+		v.addWrongValue(key, strings.Join(list, ", "), "any of "+strings.Join(disabled.Names(), ", "))
 	}
 }
 
