--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -5,10 +5,10 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
-	"github.com/papayahoist/papayahoist/dispatch/door"
 	"github.com/papayahoist/papayahoist/dispatch/event"
 	"github.com/papayahoist/papayahoist/dispatch/internal/indexheap"
 	"github.com/papayahoist/papayahoist/dispatch/job"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 	"github.com/papayahoist/papayahoist/dispatch/link"
 	"github.com/papayahoist/papayahoist/dispatch/place"
 	"github.com/papayahoist/papayahoist/dispatch/preset"
@@ -65,7 +65,7 @@
 	// MaxAnswerBytes bounds the total size of the results in the answers kept.
 	MaxAnswerBytes int
 	// KeyResolver configures how the homes of caller-made keys are resolved.
-	KeyResolver door.Options
+	KeyResolver keyhome.Options
 	// MaxRetiredIDs bounds the ids remembered as not to be started again. Beyond it
 	// the oldest tokens expire early.
 	MaxRetiredIDs int
@@ -182,7 +182,7 @@
 	answeredJobs    []*jobState               // answered jobs, oldest first
 	answerBytes     int
 	retired         *retiredIDs
-	keyResolver     *door.Resolver
+	keyResolver     *keyhome.Resolver
 	policy          *policy
 	otherEntries    map[string]bool      // incarnations of the other entries
 	peers           []*pb.Peer           // live entries, as last sent to the agents
@@ -204,7 +204,7 @@
 		pastIncarnations: make(map[string][]string),
 		jobs:             make(map[string]*jobState),
 		retired:          newRetiredIDs(opts.Started, opts),
-		keyResolver:      door.New(opts.Hello.Incarnation, opts.KeyResolver),
+		keyResolver:      keyhome.New(opts.Hello.Incarnation, opts.KeyResolver),
 		recoveries:       make(map[string]*recovery),
 	}
 }
--- a/dispatch/entry/keys.go
+++ b/dispatch/entry/keys.go
@@ -6,8 +6,8 @@
 
 	"github.com/papayahoist/papayahoist/api/jobs"
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
-	"github.com/papayahoist/papayahoist/dispatch/door"
 	"github.com/papayahoist/papayahoist/dispatch/job"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 )
 
 // keyPeriod stands in for the period of an id that is a caller-made key.
@@ -16,17 +16,17 @@
 // KeyResolver returns the component that resolves the homes of caller-made keys. The driver
 // must supply its inputs, serialized with those of the Entry; until then no key is
 // served.
-func (e *Entry) KeyResolver() *door.Resolver { return e.keyResolver }
+func (e *Entry) KeyResolver() *keyhome.Resolver { return e.keyResolver }
 
 // KeyHome returns the home of a job whose id is a caller-made key. A job that is
 // known here is served here, even if its key would have another home by now.
-func (e *Entry) KeyHome(now time.Time, j *pb.Job) (door.Verdict, string) {
+func (e *Entry) KeyHome(now time.Time, j *pb.Job) (keyhome.Verdict, string) {
 	name := job.Name(j.Contract, j.Id)
 	if e.jobs[name] != nil {
-		return door.Local, e.opts.Hello.Incarnation
+		return keyhome.Local, e.opts.Hello.Incarnation
 	}
 	if _, ok := e.retired.findKey(name); ok {
-		return door.Local, e.opts.Hello.Incarnation
+		return keyhome.Local, e.opts.Hello.Incarnation
 	}
 	first := now
 	if j.FirstSentUnixMs != 0 {
@@ -46,7 +46,7 @@
 	}
 	verdict, _ := e.KeyHome(now, j)
 	first := time.UnixMilli(j.FirstSentUnixMs)
-	if verdict != door.Local || !e.retired.keyLive(now, first.Add(-e.opts.KeyResolver.Skew)) {
+	if verdict != keyhome.Local || !e.retired.keyLive(now, first.Add(-e.opts.KeyResolver.Skew)) {
 		return Answered, KeyUnknown(j.Id)
 	}
 	queued, answer := e.admit(now, j, name)
--- a/dispatch/door/doc.go
+++ b/dispatch/keyhome/doc.go
@@ -1,4 +1,4 @@
-// Package door decides which entry is home to a job whose id is a key made by the
+// Package keyhome decides which entry is home to a job whose id is a key made by the
 // caller, so that no two entries ever start jobs with the same key.
 //
 // The home of a key is chosen by rendezvous hashing among the entries announced in
@@ -26,4 +26,4 @@
 // A Resolver does no I/O, reads no clock, and must not be used by several goroutines
 // concurrently. Times are those of the local wall clock. Clocks of callers and
 // entries may differ by up to Skew.
-package door
+package keyhome
--- a/dispatch/door/door.go
+++ b/dispatch/keyhome/keyhome.go
@@ -1,4 +1,4 @@
-package door
+package keyhome
 
 import (
 	"cmp"
--- a/dispatch/door/door_test.go
+++ b/dispatch/keyhome/keyhome_test.go
@@ -1,4 +1,4 @@
-package door_test
+package keyhome_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/papayahoist/papayahoist/dispatch/door"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 )
 
 const (
@@ -19,7 +19,7 @@
 // allowed skew.
 type process struct {
 	name        string
-	door        *door.Resolver
+	resolver    *keyhome.Resolver
 	clockOffset time.Duration
 	pausedUntil time.Time // end of its pause
 	alive       bool
@@ -44,7 +44,7 @@
 	to         *process
 	from       string
 	stamp      time.Time
-	echoes     []door.Echo
+	echoes     []keyhome.Echo
 	peers      map[string]bool
 	wantsReply bool
 	list       []string // the store's list, instead of a state
@@ -58,7 +58,7 @@
 		name: fmt.Sprintf("e%d", len(w.processes)), alive: true, known: map[string]bool{},
 		clockOffset: time.Duration(w.rng.Int64N(int64(skew/2))) - skew/4,
 	}
-	p.door = door.New(p.name, door.Options{Skew: skew, KeyTTL: time.Minute})
+	p.resolver = keyhome.New(p.name, keyhome.Options{Skew: skew, KeyTTL: time.Minute})
 	w.processes = append(w.processes, p)
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	w.leases[p.name] = w.now.Add(leaseTTL)
-	p.door.AnnouncementRenewed(w.clock(p), w.clock(p).Add(leaseTTL-step))
+	p.resolver.AnnouncementRenewed(w.clock(p), w.clock(p).Add(leaseTTL-step))
 	var list []string
 	for _, o := range w.processes {
 		if w.now.Before(w.leases[o.name]) {
@@ -88,7 +88,7 @@
 }
 
 func (w *cluster) send(p *process, to *process, asks bool) {
-	stamp, echoes := p.door.State(w.clock(p))
+	stamp, echoes := p.resolver.State(w.clock(p))
 	if w.partitioned(p.name, to.name) || w.rng.IntN(20) == 0 {
 		return
 	}
@@ -110,9 +110,9 @@
 		case w.now.Before(m.at) || !w.up(m.to):
 			later = append(later, m)
 		case m.list != nil:
-			m.to.door.ApplyList(w.clock(m.to), m.readAt, m.list)
+			m.to.resolver.ApplyList(w.clock(m.to), m.readAt, m.list)
 		default:
-			m.to.door.ReceiveState(w.clock(m.to), m.from, m.stamp, m.echoes)
+			m.to.resolver.ReceiveState(w.clock(m.to), m.from, m.stamp, m.echoes)
 			for name := range m.peers {
 				m.to.known[name] = true
 			}
@@ -159,16 +159,16 @@
 		if !w.up(p) {
 			return
 		}
-		verdict, home := p.door.Home(w.clock(p), key, firstSent)
+		verdict, home := p.resolver.Home(w.clock(p), key, firstSent)
 		switch verdict {
-		case door.Local:
+		case keyhome.Local:
 			w.localVerdicts++
 			if by := w.started[key]; by != "" && by != p.name {
 				t.Fatalf("seed %d: key %s started by %s and by %s", seed, key, by, p.name)
 			}
 			w.started[key] = p.name
 			return
-		case door.Unknown:
+		case keyhome.Unknown:
 			return
 		}
 		p = w.process(home)
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
-	"github.com/papayahoist/papayahoist/dispatch/door"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 	"github.com/papayahoist/papayahoist/node/metrics"
 )
 
@@ -85,9 +85,9 @@
 	if state.DoorUnixNs == 0 {
 		return
 	}
-	echoes := make([]door.Echo, 0, len(state.DoorEchoes))
+	echoes := make([]keyhome.Echo, 0, len(state.DoorEchoes))
 	for _, echo := range state.DoorEchoes {
-		echoes = append(echoes, door.Echo{Entry: echo.Entry, Stamp: time.Unix(0, echo.UnixNs)})
+		echoes = append(echoes, keyhome.Echo{Entry: echo.Entry, Stamp: time.Unix(0, echo.UnixNs)})
 	}
 	e.core.KeyResolver().ReceiveState(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
 }
--- a/node/entry/route.go
+++ b/node/entry/route.go
@@ -6,9 +6,9 @@
 
 	"github.com/papayahoist/papayahoist/api/jobs"
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
-	"github.com/papayahoist/papayahoist/dispatch/door"
 	"github.com/papayahoist/papayahoist/dispatch/entry"
 	"github.com/papayahoist/papayahoist/dispatch/job"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 )
 
 // route serves a request locally if this entry is the job's home, and forwards it
@@ -54,14 +54,14 @@
 
 // routeKey serves a request whose id is a caller-made key, which names no home.
 func (e *Entry) routeKey(ctx context.Context, rq request) reply {
-	var verdict door.Verdict
+	var verdict keyhome.Verdict
 	var home string
 	rq.job.Contract = rq.contract
 	e.step(func(now time.Time) { verdict, home = e.core.KeyHome(now, rq.job) })
 	switch verdict {
-	case door.Local:
+	case keyhome.Local:
 		return e.serveLocal(ctx, rq)
-	case door.Remote:
+	case keyhome.Remote:
 		if p := e.findPeer(home); p != nil {
 			if rp, result := e.forward(ctx, p, rq); result == homeReplied {
 				return rp
--- a/node/entry/unresponsive_test.go
+++ b/node/entry/unresponsive_test.go
@@ -17,8 +17,8 @@
 	"github.com/papayahoist/papayahoist/api/jobs"
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 	"github.com/papayahoist/papayahoist/dispatch/agent"
-	"github.com/papayahoist/papayahoist/dispatch/door"
 	coreentry "github.com/papayahoist/papayahoist/dispatch/entry"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 	"github.com/papayahoist/papayahoist/dispatch/link"
 	nodeagent "github.com/papayahoist/papayahoist/node/agent"
 	"github.com/papayahoist/papayahoist/node/entry"
@@ -170,7 +170,7 @@
 		Hello:         &pb.EntryHello{Entry: name, Incarnation: entry.NewIncarnation()},
 		CallersListen: "127.0.0.1:0", NodesListen: "127.0.0.1:0",
 		Contract: func(string) *pb.Contract { return contract }, Peers: peers,
-		Core:   coreentry.Options{Link: shortLinkTimeouts, KeyResolver: door.Options{Skew: keySkew}},
+		Core:   coreentry.Options{Link: shortLinkTimeouts, KeyResolver: keyhome.Options{Skew: keySkew}},
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
