--- a/cmd/internal/site/site.go
+++ b/cmd/internal/site/site.go
@@ -253,7 +253,7 @@
 	o.Join = s.joinAddresses()
 	o.DrainTimeout = s.opts.DrainTimeout
 	n, err := process.NewEntry(process.EntryOptions{
-		Settings: o, Core: s.opts.EntryCore, Events: entryEvents, Registry: s.newRegistry(), Logger: s.opts.Logger,
+		Settings: o, Core: s.opts.EntryCore, EventCapacity: entryEvents, Registry: s.newRegistry(), Logger: s.opts.Logger,
 	})
 	if err != nil {
 		return ErrStart.Wrap(err, "entry %d", e.index)
--- a/cmd/papayahoist/contract_change.go
+++ b/cmd/papayahoist/contract_change.go
@@ -35,7 +35,7 @@
 
 func (c *contractCommand) change(wanted *pb.Contract, rebase bool) error {
 	revision, err := c.editor().Apply(c.env.Context, contract.Change{
-		Contract: wanted, ID: c.newChangeID(), By: c.by, At: time.Now(), Rebase: rebase,
+		Contract: wanted, ID: c.newChangeID(), Author: c.by, At: time.Now(), Rebase: rebase,
 	})
 	return c.report(wanted.Name, revision, err)
 }
@@ -56,7 +56,7 @@
 
 func (c *contractCommand) report(name string, revision uint64, err error) error {
 	if err != nil {
-		if errorx.IsOfType(err, config.ErrNotKnown) {
+		if errorx.IsOfType(err, config.ErrOutcomeUnknown) {
 			c.env.Progress("repeat the command with --change-id %s to find out; the change is applied at most once", c.changeID)
 		}
 		return contractError(err)
@@ -151,7 +151,7 @@
 		return cli.Fail(cli.CodeConflict, withConflictingChanges(err))
 	case errorx.IsOfType(err, contract.ErrNotFound):
 		return cli.Fail(cli.CodeNotFound, err)
-	case errorx.IsOfType(err, config.ErrNotKnown):
+	case errorx.IsOfType(err, config.ErrOutcomeUnknown):
 		return cli.Fail(cli.CodeUnknown, err)
 	case errorx.IsOfType(err, config.ErrUnavailable), errorx.IsOfType(err, config.ErrRefused):
 		return cli.Fail(cli.CodeNotRun, err)
--- a/dispatch/agent/credits.go
+++ b/dispatch/agent/credits.go
@@ -11,7 +11,7 @@
 	for _, g := range a.slots.Balance(now, nil) {
 		p := a.peer(g.Entry)
 		p.pending.Granted += uint32(g.Granted)
-		p.pending.Recall += uint32(g.Recall)
+		p.pending.Recall += uint32(g.Recalled)
 		p.dirty = true
 	}
 }
@@ -20,6 +20,6 @@
 // in the frame that carries the result, unless another entry is entitled to them.
 func (a *Agent) grantAgain(p *peer, units int) {
 	if !a.leaving {
-		p.pending.Granted += uint32(a.slots.Sticky(p.hello.Incarnation, units))
+		p.pending.Granted += uint32(a.slots.Regrant(p.hello.Incarnation, units))
 	}
 }
--- a/dispatch/dispatcher/agents.go
+++ b/dispatch/dispatcher/agents.go
@@ -25,8 +25,8 @@
 	// free is the free capacity last reported, less the orders that the report doesn't
 	// include; it is negative when these exceed it.
 	free        size.Size
-	releases    forecast.Frees
-	healthState place.Standing
+	releases    forecast.Releases
+	healthState place.HealthState
 	slowness    float64 // relative to other workers, as last judged
 
 	live      []*order // not ended, oldest first
@@ -79,8 +79,8 @@
 // recomputeFree derives the free capacity and its predicted releases from the last
 // report and the orders that the report doesn't include.
 func (a *agent) recomputeFree() {
-	a.free = size.OfRoom(a.state.GetRoom())
-	a.releases = forecast.Frees{}
+	a.free = size.FromRoom(a.state.GetRoom())
+	a.releases = forecast.Releases{}
 	for i, cpu := range a.state.GetFrees() {
 		if i < len(a.releases) {
 			a.releases[i] = int64(cpu)
@@ -108,7 +108,7 @@
 		needed = s.CPUMillis
 	}
 	// The prediction isn't advanced by the age of the report: what was released
-	// since then, other entries have taken as well. See forecast.Frees.
+	// since then, other entries have taken as well. See forecast.Releases.
 	return a.releases.Wait(needed)
 }
 
@@ -138,17 +138,17 @@
 }
 
 func (d *Dispatcher) tickAgent(now time.Time, a *agent) {
-	if a.session.Silent(now) && !d.behind(now) {
+	if a.session.TimedOut(now) && !d.behind(now) {
 		d.linkLost(now, a, "the link has gone silent")
 		d.ready.Close = append(d.ready.Close, a.incarnation)
 	}
 	if a.session.IsUp() {
 		return
 	}
-	if !a.abandoned && !now.Before(a.downAt.Add(d.opts.Times.GiveUp)) {
+	if !a.abandoned && !now.Before(a.downAt.Add(d.opts.Timeouts.ReconnectTimeout)) {
 		d.abandonJobsOn(now, a)
 	}
-	if len(a.live) > 0 && !now.Before(a.lastSent.Add(d.opts.Times.RunsOver)) {
+	if len(a.live) > 0 && !now.Before(a.lastSent.Add(d.opts.Timeouts.RunsEndedAfter)) {
 		// No run ordered there can still be alive; see package bounds.
 		d.loseOrders(now, a, "the agent can't be reached")
 	}
@@ -160,7 +160,7 @@
 // abandonJobsOn answers the jobs whose runs on a lost agent can't be replaced in time.
 func (d *Dispatcher) abandonJobsOn(now time.Time, a *agent) {
 	a.abandoned = true
-	free := a.lastSent.Add(d.opts.Times.RunsOver)
+	free := a.lastSent.Add(d.opts.Timeouts.RunsEndedAfter)
 	for _, o := range slices.Clone(a.live) {
 		j := o.task.job
 		if !j.ended && free.Add(o.expected).After(j.deadline) {
@@ -175,7 +175,7 @@
 		d.removeOrder(o)
 		// The run may have begun without a report.
 		o.task.job.started = true
-		d.opts.Decided(Decision{Event: "run_lost", Job: o.task.job.ID, Task: o.task.name(), Run: o.run, Agent: a.name, Order: o.number, Reason: reason})
+		d.opts.OnDecision(Decision{Event: "run_lost", Job: o.task.job.ID, Task: o.task.name(), Run: o.run, Agent: a.name, Order: o.number, Reason: reason})
 		d.requeue(o.task.job, o.task)
 	}
 }
@@ -209,7 +209,7 @@
 
 func (d *Dispatcher) applyState(now time.Time, a *agent, s *pb.WorkerState) {
 	if a.state == nil || a.state.Accepting != s.Accepting || a.state.Worker != s.Worker {
-		d.opts.Decided(Decision{Event: "worker_state", Agent: a.name, Reason: s.Held, Outcome: s.Worker, Free: size.OfRoom(s.Room), Age: now.Sub(a.stateAt)})
+		d.opts.OnDecision(Decision{Event: "worker_state", Agent: a.name, Reason: s.Held, Outcome: s.Worker, Free: size.FromRoom(s.Room), Age: now.Sub(a.stateAt)})
 	}
 	if a.state != nil && a.state.Worker != s.Worker {
 		// Statistics of one worker incarnation say little of the next.
@@ -217,7 +217,7 @@
 		d.health.Add(a.incarnation)
 		a.slowness = 1
 	}
-	a.state, a.stateAt, a.capacity = s, now, size.Of(s.Capacity)
+	a.state, a.stateAt, a.capacity = s, now, size.FromMessage(s.Capacity)
 	a.recomputeFree()
 	d.updateHealthState(now, a)
 	if s.Clean && a.hasPredecessor {
@@ -226,14 +226,14 @@
 }
 
 func (d *Dispatcher) updateHealthState(now time.Time, a *agent) {
-	s := d.health.Standing(a.incarnation, now)
+	s := d.health.State(a.incarnation, now)
 	if s != a.healthState {
-		d.opts.Decided(Decision{Event: "worker_standing", Agent: a.name, Outcome: healthStateName(s)})
+		d.opts.OnDecision(Decision{Event: "worker_standing", Agent: a.name, Outcome: healthStateName(s)})
 		a.healthState = s
 	}
 }
 
-func healthStateName(s place.Standing) string {
+func healthStateName(s place.HealthState) string {
 	switch s {
 	case place.Trial:
 		return "trial"
--- a/dispatch/dispatcher/crash.go
+++ b/dispatch/dispatcher/crash.go
@@ -170,7 +170,7 @@
 			outcome = "at its start"
 		}
 		r := d.crashes.byTask[m.Task]
-		d.opts.Decided(Decision{Event: "task_crashed_worker", Task: m.Task, Agent: a.name, Outcome: outcome, Waiting: len(r.crashes), Reason: "worker: " + m.Worker})
+		d.opts.OnDecision(Decision{Event: "task_crashed_worker", Task: m.Task, Agent: a.name, Outcome: outcome, Waiting: len(r.crashes), Reason: "worker: " + m.Worker})
 	}
 }
 
@@ -187,7 +187,7 @@
 
 // handleLoss decides on a task whose run has ended without a result.
 func (d *Dispatcher) handleLoss(now time.Time, t *task, at *agent, reason string) {
-	if reason != runner.ReasonCrashed && reason != runner.ReasonCrashedLater {
+	if reason != runner.ReasonCrashedAtStart && reason != runner.ReasonCrashedLater {
 		d.requeue(t.job, t)
 		return
 	}
@@ -198,7 +198,7 @@
 		d.answer(now, t.job, Answer{Outcome: Failed, Reason: ReasonCrashes, Permanent: true})
 		return
 	}
-	if reason == runner.ReasonCrashed {
+	if reason == runner.ReasonCrashedAtStart {
 		t.avoid = append(t.avoid, at)
 	}
 	d.requeue(t.job, t)
--- a/dispatch/dispatcher/dispatcher_test.go
+++ b/dispatch/dispatcher/dispatcher_test.go
@@ -19,11 +19,11 @@
 	t        *testing.T
 	d        *Dispatcher
 	now      time.Time
-	times    bounds.Times
+	times    bounds.Timeouts
 	agents   map[string]*fakeAgent // by incarnation
 	answers  map[uint64]Answer
 	jobs     int
-	requests []Want
+	requests []AgentRequest
 }
 
 type fakeAgent struct {
@@ -44,13 +44,13 @@
 }
 
 func newFixture(t *testing.T, agents ...string) *fixture {
-	times, err := bounds.Derive(bounds.Given{})
+	times, err := bounds.Derive(bounds.Params{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &fixture{t: t, now: time.Unix(1000, 0), times: times, agents: map[string]*fakeAgent{}, answers: map[uint64]Answer{}}
 	b.d = New(Options{
-		Entry: "entry-1", Incarnation: "e1", FailureDomain: "hall", Times: times,
+		Entry: "entry-1", Incarnation: "e1", FailureDomain: "hall", Timeouts: times,
 		Link: link.Options{AckDelay: 50 * time.Millisecond, AckTimeout: time.Minute, Heartbeat: time.Minute, HeartbeatTimeout: time.Hour},
 	})
 	// Its startup period is over.
@@ -123,7 +123,7 @@
 			a.used += int64(o.Size.CpuMillis)
 		}
 	}
-	b.requests = append(b.requests, r.Wants...)
+	b.requests = append(b.requests, r.AgentRequests...)
 	for _, a := range r.Answers {
 		b.answers[a.Number] = a
 	}
@@ -326,7 +326,7 @@
 func TestRunsOfDisconnectedCallerAreStopped(t *testing.T) {
 	b := newFixture(t, "a")
 	n := b.mustSubmit(tasks(2, 1000, time.Second))
-	b.d.CallerGone(b.now, n)
+	b.d.CallerDisconnected(b.now, n)
 	b.ready()
 	if got := len(b.agents["a-1"].stops); got != 2 {
 		t.Errorf("%d stops, want 2", got)
@@ -366,9 +366,9 @@
 	}
 	b.attach("b", "b-1")
 	b.d.LinkDown(b.now, "a-1", a.epoch)
-	b.advance(b.times.GiveUp + 10*time.Millisecond)
+	b.advance(b.times.ReconnectTimeout + 10*time.Millisecond)
 	b.wantAnswer(shortLimit, Unknown, ReasonAgentLost)
-	b.advance(b.times.RunsOver - b.times.GiveUp - 30*time.Millisecond)
+	b.advance(b.times.RunsEndedAfter - b.times.ReconnectTimeout - 30*time.Millisecond)
 	if got := len(b.agents["b-1"].orders); got != 0 {
 		t.Fatalf("%d orders elsewhere before the runs must have ended", got)
 	}
@@ -464,8 +464,8 @@
 	o := b.orders()[len(b.orders())-1]
 	b.advance(100 * time.Millisecond)
 	b.agents["a-1"].used = 5000 // full even without this order
-	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
-	b.wantAnswer(m, NotRun, ReasonHeld)
+	b.reportOrder(o, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaitTimeout, 0)
+	b.wantAnswer(m, NotRun, ReasonNoFreeWorker)
 }
 
 // A second entry or a stale read supplies an older configuration. Applied, it would restore
@@ -547,7 +547,7 @@
 	b.ready()
 	o := b.orders()[0]
 	b.reportOrder(o, pb.OrderState_ORDER_STATE_STARTED, "", 0)
-	b.d.CallerGone(b.now, first)
+	b.d.CallerDisconnected(b.now, first)
 	b.d.Submit(b.now, j)
 	b.ready()
 	if got := len(b.orders()); got != 1 {
@@ -565,7 +565,7 @@
 	b := newFixture(t, "a")
 	n, _ := b.d.Submit(b.now, tasks(2, 1000, 100*time.Millisecond))
 	b.d.place(b.now)
-	b.d.CallerGone(b.now, n)
+	b.d.CallerDisconnected(b.now, n)
 	b.ready()
 	if a := b.agents["a-1"]; len(a.orders)+len(a.stops) != 0 || b.d.agents[0].free.CPUMillis != 4000 {
 		t.Errorf("orders %v, stops %v, free %v", a.orders, a.stops, b.d.agents[0].free)
@@ -581,10 +581,10 @@
 	n := b.mustSubmit(j)
 	b.attach("b", "b-1")
 	b.d.LinkDown(b.now, "a-1", b.agents["a-1"].epoch)
-	b.advance(b.times.RunsOver + 50*time.Millisecond)
+	b.advance(b.times.RunsEndedAfter + 50*time.Millisecond)
 	second := b.agents["b-1"].orders[0]
 	b.agents["b-1"].used = 4000
-	b.reportOrder(second, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaited, 0)
+	b.reportOrder(second, pb.OrderState_ORDER_STATE_REFUSED, runner.ReasonWaitTimeout, 0)
 	b.advance(10 * time.Second)
 	if a, ok := b.answers[n]; !ok || a.Outcome != Unknown {
 		t.Errorf("answer %+v (%v), want unknown", a, ok)
@@ -600,7 +600,7 @@
 	b.now = b.now.Add(800 * time.Millisecond)
 	b.d.Tick(b.now)
 	b.ready()
-	if _, refused := b.submit(tasks(1, 1000, 100*time.Millisecond)); refused == nil || refused.Reason != ReasonBusy {
+	if _, refused := b.submit(tasks(1, 1000, 100*time.Millisecond)); refused == nil || refused.Reason != ReasonLagging {
 		t.Errorf("answer %+v, want a refusal because the entry lags", refused)
 	}
 	if !b.d.behind(b.now) {
--- a/dispatch/dispatcher/frames.go
+++ b/dispatch/dispatcher/frames.go
@@ -4,9 +4,9 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/internal/indexheap"
 	"github.com/papayahoist/papayahoist/dispatch/link"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // An input concerns few agents, so only those that it touches are processed after it:
@@ -42,7 +42,7 @@
 // refused recently, and ends that request afterwards.
 func (d *Dispatcher) updateExpedite(now time.Time) {
 	for service, w := range d.waitlists {
-		if expedite := (len(w.jobs) > 0 || now.Sub(w.refusedAt) < expediteAfterRefusal) && !d.opts.Without.Has(without.Expedite); expedite != w.expedite {
+		if expedite := (len(w.jobs) > 0 || now.Sub(w.refusedAt) < expediteAfterRefusal) && !d.opts.Disabled.Has(disabled.Expedite); expedite != w.expedite {
 			w.expedite = expedite
 			d.setExpedite(service, expedite)
 		}
@@ -95,16 +95,16 @@
 		return next
 	}
 	if !a.abandoned {
-		return a.downAt.Add(d.opts.Times.GiveUp)
+		return a.downAt.Add(d.opts.Timeouts.ReconnectTimeout)
 	}
 	if len(a.live) > 0 {
-		return a.lastSent.Add(d.opts.Times.RunsOver)
+		return a.lastSent.Add(d.opts.Timeouts.RunsEndedAfter)
 	}
 	return a.downAt.Add(agentRetention)
 }
 
 func (d *Dispatcher) renewInterval() time.Duration {
-	return time.Duration(renewShare * float64(d.opts.Times.Silence))
+	return time.Duration(renewShare * float64(d.opts.Timeouts.EntryTimeout))
 }
 
 // flush builds the frame for an agent, if one is due.
@@ -131,5 +131,5 @@
 	f.InvitedBy, a.invitedBy = a.invitedBy, nil
 	a.pending = pb.OrderFrame{}
 	a.dirty, a.sendEntries, a.sendEvacuations, a.expedite, a.lastSent = false, false, false, expedite, now
-	d.ready.Frames = append(d.ready.Frames, OutboundFrame{Agent: a.incarnation, Epoch: a.session.Epoch(), Frame: f})
+	d.ready.Frames = append(d.ready.Frames, OutgoingFrame{Agent: a.incarnation, Epoch: a.session.Epoch(), Frame: f})
 }
--- a/dispatch/dispatcher/orders.go
+++ b/dispatch/dispatcher/orders.go
@@ -5,11 +5,11 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/health"
 	"github.com/papayahoist/papayahoist/dispatch/place"
 	"github.com/papayahoist/papayahoist/dispatch/runner"
 	"github.com/papayahoist/papayahoist/dispatch/size"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // order is an instruction to an agent to start one run of a task.
@@ -77,7 +77,7 @@
 	if wait > 0 {
 		reason = "shortest wait"
 	}
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "task_ordered", Job: t.job.ID, Queue: t.job.queue.Name, Version: t.job.Version, Task: t.name(), Run: o.run,
 		Agent: a.name, Order: o.number, Reason: reason, Age: now.Sub(a.stateAt), Elapsed: now.Sub(t.job.arrived), Free: a.free, Retry: wait,
 	})
@@ -102,17 +102,17 @@
 	case runner.ReasonOldRun:
 		// Another entry has run the task before, for the caller's earlier attempt.
 		t.lastRun += runNumberStep
-	case runner.ReasonLate:
+	case runner.ReasonStaleOrder:
 		d.recordStaleOrder(now, a)
-	case runner.ReasonRoom, runner.ReasonWaited:
+	case runner.ReasonNoCapacity, runner.ReasonWaitTimeout:
 		d.recordOngoingWait(now, t)
-	case runner.ReasonStopped, runner.ReasonHeld:
+	case runner.ReasonStopped, runner.ReasonNotAccepting:
 	default:
 		if a.session.IsUp() {
 			t.avoid = append(t.avoid, a)
 		}
 	}
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "order_refused", Job: t.job.ID, Task: t.name(), Run: o.run, Agent: a.name, Order: o.number, Reason: reason,
 		Elapsed: now.Sub(t.job.arrived), Free: a.free,
 	})
@@ -121,13 +121,13 @@
 		return
 	}
 	d.requeue(j, t)
-	if !d.opts.Without.Has(without.Abandonment) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
+	if !d.opts.Disabled.Has(disabled.Abandonment) && (!now.Before(t.latestStart()) || !j.started && !d.servable(now, t)) {
 		// Its answer would be of no use, and its other tasks would only take capacity.
-		d.abandon(now, j, ReasonHeld)
+		d.abandon(now, j, ReasonNoFreeWorker)
 		return
 	}
 	if !j.started && !j.hasOrders() && !now.Before(j.placeBy) {
-		d.abandon(now, j, ReasonHeld)
+		d.abandon(now, j, ReasonNoFreeWorker)
 	}
 }
 
@@ -176,7 +176,7 @@
 }
 
 func (d *Dispatcher) logRunEnd(now time.Time, o *order, outcome string, ran time.Duration) {
-	d.opts.Decided(Decision{
+	d.opts.OnDecision(Decision{
 		Event: "run_ended", Job: o.task.job.ID, Queue: o.task.job.queue.Name, Task: o.task.name(), Run: o.run, Agent: o.agent.name,
 		Order: o.number, Outcome: outcome, Elapsed: ran, Age: now.Sub(o.sentAt),
 	})
@@ -186,13 +186,13 @@
 func (d *Dispatcher) learnFrom(now time.Time, o *order, ran time.Duration) {
 	j := o.task.job
 	d.reportHealth(now, o.agent, j, health.Result{Run: relativeRun(ran, o.expected)})
-	if o.agent.healthState == place.Open {
+	if o.agent.healthState == place.Healthy {
 		d.learn(j.queue.Name, j.steps[o.task.step].Estimated, ran)
 	}
 }
 
 func (d *Dispatcher) reportHealth(now time.Time, a *agent, j *job, r health.Result) {
-	if d.opts.Without.Has(without.Health) {
+	if d.opts.Disabled.Has(disabled.Health) {
 		return
 	}
 	r.Contract = j.queue.Name
--- a/dispatch/dispatcher/place.go
+++ b/dispatch/dispatcher/place.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/place"
 	"github.com/papayahoist/papayahoist/dispatch/subset"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // waitlist holds the jobs of one service that have tasks to place, in order of precedence:
@@ -179,7 +179,7 @@
 	if suspected {
 		remaining = n
 	}
-	if d.opts.Without.Has(without.WorkerSubset) {
+	if d.opts.Disabled.Has(disabled.WorkerSubset) {
 		remaining = n
 	}
 	for range n {
@@ -211,7 +211,7 @@
 }
 
 // sharingEntries returns how many entries place work on the same worker.
-func (d *Dispatcher) sharingEntries() int { return min(max(1, len(d.entries)), subset.Links) }
+func (d *Dispatcher) sharingEntries() int { return min(max(1, len(d.entries)), subset.LinksPerAgent) }
 
 // urgency is the priority by which a job's work overtakes and is overtaken.
 func (j *job) urgency() uint32 {
@@ -223,7 +223,7 @@
 
 // overtakeFactor returns how many times longer than the work ahead of it a task of a job waits.
 func (d *Dispatcher) overtakeFactor(now time.Time, j *job) float64 {
-	if d.opts.Without.Has(without.Overtaking) {
+	if d.opts.Disabled.Has(disabled.Overtaking) {
 		return 1
 	}
 	return d.waitlist(j.queue.Service).mix.overtakeFactor(now, j.urgency())
@@ -259,7 +259,7 @@
 
 // mayRun reports whether a worker may be given a task at all.
 func (d *Dispatcher) mayRun(now time.Time, a *agent, t *task, s *step) bool {
-	if a.healthState != place.Open {
+	if a.healthState != place.Healthy {
 		d.updateHealthState(now, a) // its time may be over
 	}
 	switch {
--- a/dispatch/entry/agents.go
+++ b/dispatch/entry/agents.go
@@ -33,7 +33,7 @@
 	pendingStarts []*taskState  // starts to send in the next frame
 	dirty         bool
 
-	healthState place.Standing // as last recorded, for operators
+	healthState place.HealthState // as last recorded, for operators
 }
 
 const (
@@ -45,9 +45,9 @@
 	forgetAgentAfter = 10 * time.Minute
 )
 
-// AgentSeen handles an agent's announcement. A new incarnation replaces the old
+// AgentAnnounced handles an agent's announcement. A new incarnation replaces the old
 // one, whose process has ended. Relink requests a new link to the same process.
-func (e *Entry) AgentSeen(now time.Time, hello *pb.AgentHello, relink, leaving bool) {
+func (e *Entry) AgentAnnounced(now time.Time, hello *pb.AgentHello, relink, leaving bool) {
 	if slices.Contains(e.pastIncarnations[hello.Agent], hello.Incarnation) {
 		// A stale announcement, delayed until after that of the next process. Handling
 		// it would abandon every task that runs in the current process.
@@ -170,9 +170,9 @@
 	}
 }
 
-// TellPeers sets the live entries and sends them to every agent. They are sent
+// NotifyPeers sets the live entries and sends them to every agent. They are sent
 // again on each new link, so a frame lost with its link does no harm.
-func (e *Entry) TellPeers(peers []*pb.Peer) {
+func (e *Entry) NotifyPeers(peers []*pb.Peer) {
 	e.peers = peers
 	for _, a := range e.agents {
 		if a.session.IsUp() {
@@ -228,7 +228,7 @@
 }
 
 func (e *Entry) tickAgent(now time.Time, a *agent) {
-	if a.session.Silent(now) {
+	if a.session.TimedOut(now) {
 		e.recordPeer(now, event.PeerSuspected, a, "the link has gone silent", a.session.Epoch())
 		e.linkLost(now, a)
 		a.dialAt = now
@@ -268,7 +268,7 @@
 	e.linkLost(now, a)
 	tasks := a.tasks
 	a.tasks = nil
-	e.policy.sched.Drop(a.hello.Agent)
+	e.policy.sched.RemoveAgent(a.hello.Agent)
 	for _, t := range tasks {
 		e.release(a, t)
 		if t.phase == ended {
@@ -288,7 +288,7 @@
 	if a == nil || a.session.Epoch() != epoch {
 		return
 	}
-	if a.session.Silent(now) {
+	if a.session.TimedOut(now) {
 		// The link has timed out, as after a pause of the agent. A new link carries what
 		// was missed.
 		e.tickAgent(now, a)
@@ -411,7 +411,7 @@
 		t.seq = f.Seq
 	}
 	a.pendingStarts = a.pendingStarts[:0]
-	e.ready.Frames = append(e.ready.Frames, Out{Agent: a.hello.Agent, Epoch: a.session.Epoch(), Frame: f})
+	e.ready.Frames = append(e.ready.Frames, OutgoingFrame{Agent: a.hello.Agent, Epoch: a.session.Epoch(), Frame: f})
 }
 
 func addStart(now time.Time, batches []*pb.StartBatch, t *taskState) []*pb.StartBatch {
--- a/dispatch/entry/events.go
+++ b/dispatch/entry/events.go
@@ -22,12 +22,12 @@
 }
 
 // recordHealthState records a change of an agent's health state.
-func (e *Entry) recordHealthState(now time.Time, a *agent, to place.Standing) {
+func (e *Entry) recordHealthState(now time.Time, a *agent, to place.HealthState) {
 	if a.healthState == to {
 		return
 	}
-	kind := map[place.Standing]event.Kind{
-		place.Suspended: event.WorkerSuspended, place.Trial: event.WorkerTrial, place.Open: event.WorkerResumed,
+	kind := map[place.HealthState]event.Kind{
+		place.Suspended: event.WorkerSuspended, place.Trial: event.WorkerTrial, place.Healthy: event.WorkerResumed,
 	}[to]
 	a.healthState = to
 	e.recordPeer(now, kind, a, healthStateTexts[to], 0)
@@ -50,7 +50,7 @@
 }
 
 // recordAnswers records the answers that Ready returns.
-func (e *Entry) recordAnswers(now time.Time, answers []Ended) {
+func (e *Entry) recordAnswers(now time.Time, answers []JobAnswer) {
 	for _, ended := range answers {
 		a, took := ended.Answer, time.Duration(0)
 		if js := e.jobs[job.Name(ended.Contract, a.Job)]; js != nil {
--- a/dispatch/entry/policy.go
+++ b/dispatch/entry/policy.go
@@ -22,7 +22,7 @@
 	limits      *limit.Limiter
 	shares      *limit.Shares
 	sizes       *estimate.Estimator
-	health      *health.Judge
+	health      *health.Tracker
 	contracts   map[string]*pb.Contract // as last applied
 	lastRecheck time.Time               // when recheck last ran in full
 	// exchangeRequested is when an exchange with the other entries was last
@@ -63,7 +63,7 @@
 	if c != nil && !c.Deleted {
 		applied = limit.Contract{
 			Name: name, Rate: c.Rate, Burst: c.Burst, Concurrency: c.Concurrency,
-			MemoryBytes: c.MemoryBytes, Waiting: c.Waiting,
+			MemoryBytes: c.MemoryBytes, MaxWaiting: c.Waiting,
 		}
 		p.sched.SetContract(name, classOf(c), c.Weight)
 	}
@@ -88,8 +88,8 @@
 func (e *Entry) applyShares(now time.Time) {
 	p := e.policy
 	for name := range p.contracts {
-		slots, total := p.shares.Part(name)
-		if p.limits.SetPart(name, slots, total, now) {
+		slots, total := p.shares.Share(name)
+		if p.limits.SetShare(name, slots, total, now) {
 			p.exchangeBackoff = 0
 			p.sched.Unblock(name)
 		}
@@ -102,7 +102,7 @@
 	_, largest := e.policy.sched.Pool.Largest()
 	largest = cmp.Or(largest, math.MaxUint64)
 	left := time.Duration(j.TimeoutMs) * time.Millisecond
-	r := limit.Request{Contract: j.Contract, Tasks: len(j.Tasks), Left: left, LargestMemory: largest}
+	r := limit.Request{Contract: j.Contract, Tasks: len(j.Tasks), TimeLeft: left, MaxWorkerMemory: largest}
 	w := &place.Job{
 		ID: j.Id, Contract: j.Contract, Kind: j.Kind, Deadline: now.Add(left),
 		Tasks: make([]place.Task, len(j.Tasks)),
@@ -113,14 +113,14 @@
 			// An uncertain estimate must not make a job unplaceable.
 			s.Memory = min(s.Memory, largest, c.MemoryBytes)
 		}
-		w.Tasks[i] = place.Task{Number: uint32(i), Run: s.Run, Memory: s.Memory}
-		w.MinRun = s.LikelyRun
-		r.MemoryBytes = max(r.MemoryBytes, s.Memory)
-		r.Work += s.Run
-		r.MinRun, r.LikelyRun = s.MinRun, s.LikelyRun
+		w.Tasks[i] = place.Task{Number: uint32(i), RunTime: s.Run, Memory: s.Memory}
+		w.MinRunTime = s.MedianRun
+		r.MaxTaskMemory = max(r.MaxTaskMemory, s.Memory)
+		r.TotalRun += s.Run
+		r.MinRun, r.LikelyRun = s.MinRun, s.MedianRun
 	}
 	place.LongestFirst(w.Tasks)
-	w.Due = place.Due(now, w.Deadline, w.Tasks, e.policy.sched.Pool.Slots())
+	w.DueTime = place.DueTime(now, w.Deadline, w.Tasks, e.policy.sched.Pool.Slots())
 	return w, r
 }
 
@@ -132,9 +132,9 @@
 // of it has been sent to any agent, so the outcome is "not run".
 func (e *Entry) refusal(now time.Time, j *pb.Job, r limit.Request) *pb.Answer {
 	p := e.policy
-	r.Waiting = p.sched.WaitingOf(j.Contract)
+	r.WaitingTasks = p.sched.WaitingOf(j.Contract)
 	r.Entries = len(e.otherEntries) + 1
-	r.QueueWait = p.sched.Queue().Wait(j.Contract, r.Work, p.sched.Pool.Reach())
+	r.QueueWait = p.sched.Queue().EstimateWait(j.Contract, r.TotalRun, p.sched.Pool.UsableSlots())
 	if refused := p.limits.Admit(r, now); refused != nil {
 		return refuse(j.Id, refused.Code, refused.Message, refused.RetryAfter)
 	}
@@ -173,7 +173,7 @@
 		p.sched.Pool.Ended(known, known.Units(t.start.MemoryBytes))
 	}
 	contract := t.job.job.Contract
-	if p.limits.Ended(contract, t.start.MemoryBytes) {
+	if p.limits.TaskEnded(contract, t.start.MemoryBytes) {
 		p.sched.Unblock(contract)
 	}
 }
@@ -201,15 +201,15 @@
 // updateAgent updates the scheduler's view of an agent.
 func (e *Entry) updateAgent(now time.Time, a *agent) *place.Agent {
 	name := a.hello.Agent
-	state := e.policy.health.Standing(name, now)
+	state := e.policy.health.State(name, now)
 	e.recordHealthState(now, a, state)
 	if !a.session.IsUp() || a.leaving {
 		state = place.Suspended
 	}
 	return e.policy.sched.Pool.Update(place.Agent{
-		ID: name, Domain: a.hello.FailureDomain, Rack: a.hello.Rack, Distance: e.distance(a),
+		ID: name, Domain: a.hello.FailureDomain, Rack: a.hello.Rack, RTT: e.distance(a),
 		Slots: int(a.hello.Slots), Memory: a.hello.MemoryBytes,
-		Slowness: e.policy.health.Slowness(name), Standing: state,
+		Slowness: e.policy.health.Slowness(name), Health: state,
 	})
 }
 
@@ -224,7 +224,7 @@
 // shares, agents' health and waiting jobs that have become infeasible.
 func (e *Entry) recheck(now time.Time) {
 	p := e.policy
-	p.limits.Open(now, p.sched.Unblock)
+	p.limits.Unblock(now, p.sched.Unblock)
 	if now.Sub(p.lastRecheck) < checkInterval {
 		return
 	}
@@ -236,13 +236,13 @@
 	if p.shares.Tick(now) {
 		e.applyShares(now)
 	}
-	p.sched.Retry()
+	p.sched.RetryUnplaced()
 	for _, a := range e.agents {
 		if a.session.IsUp() {
 			e.updateAgent(now, a)
 		}
 	}
-	for j := p.sched.Queue().Expired(now); j != nil; j = p.sched.Queue().Expired(now) {
+	for j := p.sched.Queue().Infeasible(now); j != nil; j = p.sched.Queue().Infeasible(now) {
 		e.endEarly(now, e.jobs[j.ID], jobs.CodeDeadline, "the deadline can't be met any more")
 	}
 }
--- a/dispatch/entry/shares.go
+++ b/dispatch/entry/shares.go
@@ -9,12 +9,12 @@
 	"github.com/papayahoist/papayahoist/dispatch/limit"
 )
 
-// PeersSeen sets the incarnations of the other entries that may start tasks. The
+// UpdateEntries sets the incarnations of the other entries that may start tasks. The
 // driver must include an entry until it certainly starts nothing any more: it
 // announced its exit and ended, or its lease has lapsed at the store and no process
 // has received anything from it since. All contracts in force are passed, so that
 // they are divided before the first job of each.
-func (e *Entry) PeersSeen(now time.Time, others []string, contracts []string) {
+func (e *Entry) UpdateEntries(now time.Time, others []string, contracts []string) {
 	for _, name := range contracts {
 		e.contract(now, name)
 	}
@@ -24,7 +24,7 @@
 	}
 	for name := range e.otherEntries {
 		if !slices.Contains(others, name) {
-			shares.Gone(name)
+			shares.RemoveMember(name)
 		}
 	}
 	e.otherEntries = make(map[string]bool, len(others))
@@ -43,12 +43,12 @@
 	e.applyShares(now)
 }
 
-// HoldsParts reports whether the entry holds a share of any contract, so that it may
+// HoldsShares reports whether the entry holds a share of any contract, so that it may
 // start tasks. It is also true while no contract allows any task.
-func (e *Entry) HoldsParts() bool {
+func (e *Entry) HoldsShares() bool {
 	none := true
 	for name := range e.policy.contracts {
-		slots, total := e.policy.shares.Part(name)
+		slots, total := e.policy.shares.Share(name)
 		if slots > 0 {
 			return true
 		}
@@ -65,7 +65,7 @@
 // don't enlarge its share because the other entries need theirs too.
 func (e *Entry) requestExchange(now time.Time) {
 	p := e.policy
-	if len(e.otherEntries) == 0 || !p.limits.AnyAtPart() || now.Before(p.exchangeRequested.Add(max(p.exchangeBackoff, e.opts.ExchangeAfter))) {
+	if len(e.otherEntries) == 0 || !p.limits.AnyBlockedByShare() || now.Before(p.exchangeRequested.Add(max(p.exchangeBackoff, e.opts.ExchangeAfter))) {
 		return
 	}
 	p.exchangeRequested = now
@@ -95,9 +95,9 @@
 	}
 }
 
-// SharesSeen applies another entry's ShareState. States of one entry must be passed
+// ReceiveShares applies another entry's ShareState. States of one entry must be passed
 // in the order in which it made them.
-func (e *Entry) SharesSeen(now time.Time, m *pb.ShareState) {
+func (e *Entry) ReceiveShares(now time.Time, m *pb.ShareState) {
 	if !e.otherEntries[m.GetEntry()] {
 		// The entry is gone or not announced yet. Applying its state would make it a
 		// member that is never removed.
@@ -112,14 +112,14 @@
 	}, now)
 	e.policy.shares.Tick(now)
 	e.applyShares(now)
-	if p := e.policy; p.shares.Promised() && now.After(p.exchangeRequested.Add(time.Millisecond)) {
+	if p := e.policy; p.shares.IncreasePending() && now.After(p.exchangeRequested.Add(time.Millisecond)) {
 		// The other entries have not confirmed yet that they follow the plan.
 		p.exchangeRequested = now
 		e.ready.Exchange = true
 	}
 }
 
-func partsToProto(p limit.Parts) []*pb.SharePart {
+func partsToProto(p limit.SlotsByContract) []*pb.SharePart {
 	out := make([]*pb.SharePart, 0, len(p))
 	for _, contract := range slices.Sorted(maps.Keys(p)) {
 		out = append(out, &pb.SharePart{Contract: contract, Slots: p[contract]})
@@ -127,8 +127,8 @@
 	return out
 }
 
-func partsFromProto(parts []*pb.SharePart) limit.Parts {
-	out := make(limit.Parts, len(parts))
+func partsFromProto(parts []*pb.SharePart) limit.SlotsByContract {
+	out := make(limit.SlotsByContract, len(parts))
 	for _, p := range parts {
 		out[p.Contract] = p.Slots
 	}
@@ -147,7 +147,7 @@
 	p := &limit.Plan{
 		ID:      limit.PlanID{Number: m.GetNumber(), Allocator: m.GetAllocator()},
 		Total:   partsFromProto(m.GetTotals()),
-		Entries: make(map[string]limit.Parts, len(m.GetEntries())),
+		Entries: make(map[string]limit.SlotsByContract, len(m.GetEntries())),
 	}
 	for _, e := range m.GetEntries() {
 		p.Entries[e.Entry] = partsFromProto(e.Parts)
--- a/dispatch/health/health.go
+++ b/dispatch/health/health.go
@@ -4,7 +4,7 @@
 //
 // A suspended agent gets work again through a trial: a single task, which runs nowhere else.
 //
-// The package does no I/O, reads no clock and starts no goroutine. A [Judge] is not safe for
+// The package does no I/O, reads no clock and starts no goroutine. A [Tracker] is not safe for
 // concurrent use.
 package health
 
@@ -17,7 +17,7 @@
 	"github.com/papayahoist/papayahoist/dispatch/place"
 )
 
-// Options configures a Judge. Zero fields take the defaults.
+// Options configures a Tracker. Zero fields take the defaults.
 type Options struct {
 	// FirstBackoff is how long the first suspension lasts. Each failed trial doubles it, up to
 	// MaxBackoff.
@@ -87,55 +87,55 @@
 	uncomparedFailures float64
 	// logSlowness is the mean logarithm of the ratio of the run time to that of other agents.
 	logSlowness    float64
-	state          place.Standing
+	state          place.HealthState
 	suspendedUntil time.Time
 	backoff        time.Duration
 }
 
-// Judge tracks the health state of agents. Use [New].
-type Judge struct {
+// Tracker tracks the health state of agents. Use [New].
+type Tracker struct {
 	options   Options
 	agents    map[string]*agent
 	kinds     map[kindKey]*kindTable
 	suspended int
 }
 
-// New returns a Judge without agents.
-func New(options Options) *Judge {
+// New returns a Tracker without agents.
+func New(options Options) *Tracker {
 	options.FirstBackoff = cmp.Or(options.FirstBackoff, DefaultFirstBackoff)
 	options.MaxBackoff = cmp.Or(options.MaxBackoff, DefaultMaxBackoff)
 	options.MaxSuspended = cmp.Or(options.MaxSuspended, DefaultMaxSuspended)
 	options.MaxKinds = cmp.Or(options.MaxKinds, DefaultMaxKinds)
-	return &Judge{options: options, agents: make(map[string]*agent), kinds: make(map[kindKey]*kindTable)}
+	return &Tracker{options: options, agents: make(map[string]*agent), kinds: make(map[kindKey]*kindTable)}
 }
 
 // Add adds an agent. If an agent process was restarted, call Remove first, so that it starts
 // without history.
-func (j *Judge) Add(name string) {
+func (j *Tracker) Add(name string) {
 	if j.agents[name] == nil {
 		j.agents[name] = &agent{backoff: j.options.FirstBackoff}
 	}
 }
 
 // Remove removes an agent.
-func (j *Judge) Remove(name string) {
+func (j *Tracker) Remove(name string) {
 	a := j.agents[name]
 	if a == nil {
 		return
 	}
-	j.setState(a, place.Open)
+	j.setState(a, place.Healthy)
 	delete(j.agents, name)
 	for _, table := range j.kinds {
 		table.peers = slices.DeleteFunc(table.peers, func(p peer) bool { return p.agent == name })
 	}
 }
 
-// Standing returns the health state of an agent, which limits the work it may get at a time. A
+// State returns the health state of an agent, which limits the work it may get at a time. A
 // suspension that has expired becomes a trial.
-func (j *Judge) Standing(name string, now time.Time) place.Standing {
+func (j *Tracker) State(name string, now time.Time) place.HealthState {
 	a := j.agents[name]
 	if a == nil {
-		return place.Open
+		return place.Healthy
 	}
 	if a.state == place.Suspended && !now.Before(a.suspendedUntil) {
 		j.setState(a, place.Trial)
@@ -145,7 +145,7 @@
 
 // Slowness returns how many times longer a task is expected to take than on other agents; 1 is
 // usual.
-func (j *Judge) Slowness(name string) float64 {
+func (j *Tracker) Slowness(name string) float64 {
 	a := j.agents[name]
 	if a == nil {
 		return 1
@@ -156,7 +156,7 @@
 
 // Report records the end of a task at an agent. It returns whether the agent's health state
 // changed.
-func (j *Judge) Report(name string, r Result, now time.Time) bool {
+func (j *Tracker) Report(name string, r Result, now time.Time) bool {
 	a := j.agents[name]
 	if a == nil {
 		return false
@@ -175,7 +175,7 @@
 	run         float64
 }
 
-func (j *Judge) evaluate(a *agent, o peerStats, r Result, now time.Time) {
+func (j *Tracker) evaluate(a *agent, o peerStats, r Result, now time.Time) {
 	if !o.known {
 		if a.state == place.Trial && !r.Failed {
 			j.endTrial(a)
@@ -199,13 +199,13 @@
 		j.suspend(a, now)
 	case a.state == place.Trial && !r.Failed:
 		j.endTrial(a)
-	case a.state == place.Open && (a.excessFailures >= suspendFailureRate || a.logSlowness >= math.Log(suspendSlowness)):
+	case a.state == place.Healthy && (a.excessFailures >= suspendFailureRate || a.logSlowness >= math.Log(suspendSlowness)):
 		j.suspend(a, now)
 	}
 }
 
-func (j *Judge) suspend(a *agent, now time.Time) {
-	if a.state == place.Open && float64(j.suspended+1) > j.options.MaxSuspended*float64(len(j.agents)) {
+func (j *Tracker) suspend(a *agent, now time.Time) {
+	if a.state == place.Healthy && float64(j.suspended+1) > j.options.MaxSuspended*float64(len(j.agents)) {
 		return
 	}
 	j.setState(a, place.Suspended)
@@ -214,8 +214,8 @@
 
 // endTrial ends a successful trial. The averages that led to the suspension are halved, so that
 // the agent is suspended again sooner if the success was luck.
-func (j *Judge) endTrial(a *agent) {
-	j.setState(a, place.Open)
+func (j *Tracker) endTrial(a *agent) {
+	j.setState(a, place.Healthy)
 	a.backoff = j.options.FirstBackoff
 	a.excessFailures /= 2
 	a.logSlowness /= 2
@@ -223,17 +223,17 @@
 
 // setState sets the health state of an agent. Agents on trial are counted as suspended, since
 // they take no significant share of the load.
-func (j *Judge) setState(a *agent, to place.Standing) {
-	if a.state == place.Open && to != place.Open {
+func (j *Tracker) setState(a *agent, to place.HealthState) {
+	if a.state == place.Healthy && to != place.Healthy {
 		j.suspended++
 	}
-	if a.state != place.Open && to == place.Open {
+	if a.state != place.Healthy && to == place.Healthy {
 		j.suspended--
 	}
 	a.state = to
 }
 
-func (j *Judge) table(key kindKey, now time.Time) *kindTable {
+func (j *Tracker) table(key kindKey, now time.Time) *kindTable {
 	table := j.kinds[key]
 	if table == nil {
 		if len(j.kinds) >= j.options.MaxKinds {
@@ -246,7 +246,7 @@
 	return table
 }
 
-func (j *Judge) evictOldestKind() {
+func (j *Tracker) evictOldestKind() {
 	var oldest kindKey
 	var table *kindTable
 	for key, t := range j.kinds {
--- a/dispatch/limit/credits.go
+++ b/dispatch/limit/credits.go
@@ -10,9 +10,9 @@
 type CreditsOptions struct {
 	// Slots is the number of slots of the endpoint.
 	Slots int
-	// Damping is how long credits must stay unused before they are recalled for
+	// RecallDelay is how long credits must stay unused before they are recalled for
 	// another entry. A shorter time follows demand faster and costs more messages.
-	Damping time.Duration
+	RecallDelay time.Duration
 }
 
 // Credits divides the slots of one endpoint between the entries linked to it.
@@ -46,10 +46,10 @@
 // Grant is a change for one entry.
 type Grant struct {
 	Entry string
-	// Granted is the number of new credits, Recall the number of credits that the
+	// Granted is the number of new credits, Recalled the number of credits that the
 	// agent asks the entry to return.
-	Granted int
-	Recall  int
+	Granted  int
+	Recalled int
 }
 
 // NewCredits returns credits with all slots free.
@@ -130,9 +130,9 @@
 	}
 }
 
-// Returned frees credits that an entry returned. This completes a recall, even if
+// Return frees credits that an entry returned. This completes a recall, even if
 // the entry has used some of the recalled credits in the meantime.
-func (c *Credits) Returned(entry string, n int) {
+func (c *Credits) Return(entry string, n int) {
 	h := c.entries[entry]
 	if h == nil {
 		return
@@ -144,9 +144,9 @@
 	c.granted -= n
 }
 
-// Unused frees the credits that an entry spent on a start that needs no slot
+// Refund frees the credits that an entry spent on a start that needs no slot
 // because it was refused or is a duplicate.
-func (c *Credits) Unused(entry string, units int) {
+func (c *Credits) Refund(entry string, units int) {
 	if h := c.entries[entry]; h != nil {
 		units = min(units, h.granted)
 		h.granted -= units
@@ -179,10 +179,10 @@
 	return c.recall(now, changes)
 }
 
-// Sticky grants slots that have just become free to the entry whose task they ran,
+// Regrant grants slots that have just become free to the entry whose task they ran,
 // unless another entry wants slots and would hold fewer. It returns the number of
 // credits granted; they are sent in the same frame as the result.
-func (c *Credits) Sticky(entry string, units int) int {
+func (c *Credits) Regrant(entry string, units int) int {
 	h := c.entries[entry]
 	if h == nil {
 		return 0
@@ -249,7 +249,7 @@
 	return best
 }
 
-// recall asks entries that left credits unused for Damping to return what others
+// recall asks entries that left credits unused for RecallDelay to return what others
 // want.
 func (c *Credits) recall(now time.Time, changes []Grant) []Grant {
 	wanted := 0
@@ -260,7 +260,7 @@
 		wanted -= h.recalled
 	}
 	for _, h := range c.order {
-		if now.Sub(h.windowStart) < c.options.Damping {
+		if now.Sub(h.windowStart) < c.options.RecallDelay {
 			continue
 		}
 		n := min(h.minUnused-h.recalled, wanted)
@@ -287,7 +287,7 @@
 		return at
 	}
 	for _, h := range c.order {
-		next := h.windowStart.Add(c.options.Damping)
+		next := h.windowStart.Add(c.options.RecallDelay)
 		if h.want == 0 && h.granted > h.recalled && (at.IsZero() || next.Before(at)) {
 			at = next
 		}
@@ -308,9 +308,9 @@
 func addRecall(changes []Grant, entry string, n int) []Grant {
 	for i := range changes {
 		if changes[i].Entry == entry {
-			changes[i].Recall += n
+			changes[i].Recalled += n
 			return changes
 		}
 	}
-	return append(changes, Grant{Entry: entry, Recall: n})
+	return append(changes, Grant{Entry: entry, Recalled: n})
 }
--- a/dispatch/member/starters.go
+++ b/dispatch/member/starters.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Starters returns the incarnations of the other entries that may still start
+// PossibleStarters returns the incarnations of the other entries that may still start
 // tasks, and whose share of each contract must not be used by others. It may return
 // entries that have ended, whereas Members may omit entries that are alive.
 //
 // An entry is omitted once it is proven to have ended, by its own last message or by
 // another process at its address. A crashed entry gives no such proof, and its
 // shares would be unusable until it is replaced at the same address. An entry is
-// therefore also omitted if nothing was received from it for Options.GoneAfter, and
-// either the store has been reachable for longer than a lease lasts and does not
+// therefore also omitted if nothing was received from it for Options.AssumeStoppedAfter,
+// and either the store has been reachable for longer than a lease lasts and does not
 // list the entry, or the store has been unreachable for that long and this entry
 // receives messages from a majority of the entries that it knows. If the omitted
 // entry still runs, it is Fenced by then on its own side: it is in contact with no
@@ -23,7 +23,7 @@
 // One case remains: in a network partition one side reaches the store while the
 // other holds the majority. Then each side may use the shares of the other until the
 // partition heals.
-func (s *Set) Starters(now time.Time) []string {
+func (s *Set) PossibleStarters(now time.Time) []string {
 	if s.storeUnreachableSince.IsZero() {
 		s.storeUnreachableSince = now
 	}
@@ -35,7 +35,7 @@
 		return e.inStore || now.Sub(s.storeReachableSince) < s.options.LeaseTTL
 	}
 	for _, e := range s.entries {
-		if s.sinceReceived(now, e) >= s.options.GoneAfter && !mayStart(e) {
+		if s.sinceReceived(now, e) >= s.options.AssumeStoppedAfter && !mayStart(e) {
 			e.assumedStopped = true
 		}
 	}
@@ -48,9 +48,9 @@
 	return starters
 }
 
-// Lease records a renewal of this entry's lease in the store. Sent is the time at
+// LeaseRenewed records a renewal of this entry's lease in the store. Sent is the time at
 // which the renewal was requested; the lease may lapse one TTL after it.
-func (s *Set) Lease(sent time.Time) { s.leaseUntil = sent.Add(s.options.LeaseTTL) }
+func (s *Set) LeaseRenewed(sent time.Time) { s.leaseUntil = sent.Add(s.options.LeaseTTL) }
 
 // Fenced reports whether other entries may assume that this entry has stopped. If
 // so, it must not start tasks.
--- a/dispatch/modelcheck/process.go
+++ b/dispatch/modelcheck/process.go
@@ -147,7 +147,7 @@
 	draining := a.draining
 	w.after(w.randomDelay(), func() {
 		w.run(&e.process, func() {
-			e.core.AgentSeen(w.now, hello, relink, draining)
+			e.core.AgentAnnounced(w.now, hello, relink, draining)
 			w.pumpEntry(e)
 		})
 	})
@@ -184,7 +184,7 @@
 			w.sendToEntry(c, o.Frame)
 		}
 	}
-	for _, inc := range ready.Relink {
+	for _, inc := range ready.Reconnect {
 		if e := w.byIncarnation[inc]; e != nil {
 			w.sendAnnounce(a, e, true)
 		}
--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -5,9 +5,9 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/link"
 	"github.com/papayahoist/papayahoist/dispatch/size"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // entry is the state of one entry process that this agent has had a link with.
@@ -97,9 +97,9 @@
 	return g
 }
 
-// Closing records that this side closes the link to an entry before it opens a new one. No
+// CloseLink records that this side closes the link to an entry before it opens a new one. No
 // frame of the old link may be handled afterwards.
-func (r *Runner) Closing(now time.Time, incarnation string) {
+func (r *Runner) CloseLink(now time.Time, incarnation string) {
 	if e := r.entry(incarnation); e != nil && e.session.IsUp() {
 		e.session.Down()
 		e.downAt = now
@@ -110,7 +110,7 @@
 // false if the link can't be used: the answer took so long, because the process was frozen or
 // the connection cut, that the delay of the frames behind it can't be bounded.
 func (r *Runner) LinkUp(now, requested time.Time, g *pb.EntryGreeting, epoch uint64, sentNs int64) bool {
-	if now.Sub(requested) > r.opts.Times.MaxLate {
+	if now.Sub(requested) > r.opts.Timeouts.MaxOrderDelay {
 		return false
 	}
 	e := r.entry(g.Incarnation)
@@ -141,9 +141,9 @@
 	}
 }
 
-// EntryGone records that an entry's process has ended, and stops its runs: nobody waits for
+// EntryEnded records that an entry's process has ended, and stops its runs: nobody waits for
 // them.
-func (r *Runner) EntryGone(now time.Time, incarnation, why string) {
+func (r *Runner) EntryEnded(now time.Time, incarnation, why string) {
 	e := r.entry(incarnation)
 	if e == nil {
 		return
@@ -194,7 +194,7 @@
 		}
 	}
 	if f.Ended {
-		r.EntryGone(now, incarnation, "the entry has ended")
+		r.EntryEnded(now, incarnation, "the entry has ended")
 	}
 }
 
@@ -219,14 +219,14 @@
 	}
 	e.lastOrder = o.Number
 	x := &run{
-		task: o.Task, run: o.Run, payload: o.Payload, size: size.Of(o.Size), priority: o.Priority,
+		task: o.Task, run: o.Run, payload: o.Payload, size: size.FromMessage(o.Size), priority: o.Priority,
 		expected: time.Duration(o.ExpectedMs) * time.Millisecond,
 		entry:    e, order: o.Number, arrived: now, wanted: true,
 		waitUntil: now.Add(time.Duration(o.WaitMs) * time.Millisecond),
 		deadline:  now.Add(time.Duration(o.LimitMs) * time.Millisecond),
 		startBy:   now.Add(time.Duration(o.StartByMs) * time.Millisecond), late: o.StartByMs < 0,
 	}
-	if r.opts.Without.Has(without.StartBy) {
+	if r.opts.Disabled.Has(disabled.StartBy) {
 		x.startBy = now
 	}
 	if reason := r.refusalReason(now, x, delay); reason != "" {
@@ -247,16 +247,16 @@
 
 func (r *Runner) refusalReason(now time.Time, x *run, delay time.Duration) string {
 	switch {
-	case delay > r.opts.Times.MaxLate:
+	case delay > r.opts.Timeouts.MaxOrderDelay:
 		// A network cut or a freeze delayed the order. Its entry has abandoned it by now, and
 		// the caller may have sent the job to another entry.
-		return ReasonLate
+		return ReasonStaleOrder
 	case r.heldReasonFor(x.entry) != HeldNone:
-		return ReasonHeld
+		return ReasonNotAccepting
 	case r.runs[x.task] != nil:
 		return ReasonAlreadyRunning
 	case r.mustWait(x) && !r.mayWait(now, x):
-		return ReasonRoom
+		return ReasonNoCapacity
 	}
 	return ""
 }
@@ -264,16 +264,16 @@
 // tickEntries detects links and entries that have timed out.
 func (r *Runner) tickEntries(now time.Time) {
 	for _, e := range slices.Clone(r.entries) {
-		if e.session.Silent(now) {
+		if e.session.TimedOut(now) {
 			r.logDecision(now, Decision{Event: "entry_silent", Entry: e.name, Reason: "no frame or acknowledgement in time"})
-			r.ready.Redial = append(r.ready.Redial, e.incarnation)
+			r.ready.Reconnect = append(r.ready.Reconnect, e.incarnation)
 			e.session.Down()
 			e.downAt = now
 		}
 		if r.timedOut(now, e) && r.hasWantedRuns(e) {
 			r.stopRunsOf(now, e, "nothing received from the entry in time")
 			if e.session.IsUp() {
-				r.ready.Redial = append(r.ready.Redial, e.incarnation)
+				r.ready.Reconnect = append(r.ready.Reconnect, e.incarnation)
 				e.session.Down()
 				e.downAt = now
 			}
@@ -287,7 +287,7 @@
 // timedOut reports whether nothing has been received from an entry for longer than its runs may
 // go on.
 func (r *Runner) timedOut(now time.Time, e *entry) bool {
-	return !now.Before(e.lastReceived.Add(r.opts.Times.Silence))
+	return !now.Before(e.lastReceived.Add(r.opts.Timeouts.EntryTimeout))
 }
 
 func (r *Runner) hasWantedRuns(e *entry) bool {
@@ -303,7 +303,7 @@
 	for _, e := range r.entries {
 		next = link.Earlier(next, e.session.Next())
 		if r.hasWantedRuns(e) {
-			next = link.Earlier(next, e.lastReceived.Add(r.opts.Times.Silence))
+			next = link.Earlier(next, e.lastReceived.Add(r.opts.Timeouts.EntryTimeout))
 		}
 		if e.session.IsUp() {
 			next = link.Earlier(next, e.flushBy)
@@ -353,7 +353,7 @@
 	}
 	e.unsent, e.flushNow, e.flushBy = nil, false, time.Time{}
 	f.Clock = r.opts.Events.Stamp(now)
-	r.ready.Frames = append(r.ready.Frames, Out{Entry: e.incarnation, Epoch: e.session.Epoch(), Frame: f})
+	r.ready.Frames = append(r.ready.Frames, OutgoingFrame{Entry: e.incarnation, Epoch: e.session.Epoch(), Frame: f})
 }
 
 // heldReasonFor returns why no order of an entry may start.
@@ -370,8 +370,8 @@
 	s.Clean = r.known && r.polled && !r.hasOrphaned()
 	if r.known {
 		s.Worker, s.Service, s.Labels = r.worker.ID, r.worker.Service, r.worker.Labels
-		s.Capacity, s.Room = r.worker.Capacity.Message(), r.freeCapacity().Room()
-		s.ColdMs = uint32(r.worker.Cold.Milliseconds())
+		s.Capacity, s.Room = r.worker.Capacity.Message(), r.freeCapacity().RoomMessage()
+		s.ColdMs = uint32(r.worker.ColdStart.Milliseconds())
 		s.Queued = r.queuedWork()
 		for _, cpu := range r.releaseForecast(now) {
 			s.Frees = append(s.Frees, uint32(cpu))
--- a/dispatch/runner/queue.go
+++ b/dispatch/runner/queue.go
@@ -5,8 +5,8 @@
 	"time"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/forecast"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // mustWait reports whether an order can't start at once. An order that fits must still wait if
@@ -57,8 +57,8 @@
 
 // releaseForecast predicts when capacity becomes free, from the progress of the runs or, before
 // they show any, from their estimates.
-func (r *Runner) releaseForecast(now time.Time) *forecast.Frees {
-	var f forecast.Frees
+func (r *Runner) releaseForecast(now time.Time) *forecast.Releases {
+	var f forecast.Releases
 	for _, x := range r.runList {
 		if x.phase == queued || x.phase == unfenced || x.orphaned {
 			continue
@@ -69,7 +69,7 @@
 		}
 		remaining := max(total-now.Sub(x.startedAt), overdueAllowance)
 		if x.phase == stopping || x.phase == fencing {
-			remaining = r.opts.Times.Stop
+			remaining = r.opts.Timeouts.StopTime
 		}
 		f.Add(remaining, x.size.CPUMillis)
 	}
@@ -86,7 +86,7 @@
 		if !now.Before(x.waitUntil) || r.timedOut(now, x.entry) {
 			// A process that was frozen handles ends before its timers, and the entry may have
 			// had the task run elsewhere by now.
-			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaited)
+			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaitTimeout)
 			continue
 		}
 		if !x.size.FitsIn(r.freeCapacity()) {
@@ -110,7 +110,7 @@
 			next = x
 		}
 	}
-	if r.opts.Without.Has(without.Ahead) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
+	if r.opts.Disabled.Has(disabled.Backfill) || next.priority == head.priority || !next.size.FitsIn(r.freeCapacity()) {
 		return head
 	}
 	frees := r.releaseForecast(now)
--- a/dispatch/runner/retire.go
+++ b/dispatch/runner/retire.go
@@ -12,8 +12,8 @@
 // that has acknowledged the announcement sends no order after it, and all earlier orders have
 // arrived.
 
-// Retire begins to close the link to an entry.
-func (r *Runner) Retire(now time.Time, incarnation string) {
+// RetireLink begins to close the link to an entry.
+func (r *Runner) RetireLink(now time.Time, incarnation string) {
 	e := r.entry(incarnation)
 	if e == nil || e.retiring || !e.session.IsUp() {
 		return
@@ -22,8 +22,8 @@
 	r.logDecision(now, Decision{Event: "link_retiring", Entry: e.name})
 }
 
-// Keep cancels the closing of a link while the link is still open.
-func (r *Runner) Keep(now time.Time, incarnation string) {
+// KeepLink cancels the closing of a link while the link is still open.
+func (r *Runner) KeepLink(now time.Time, incarnation string) {
 	e := r.entry(incarnation)
 	if e == nil || !e.retiring || !e.session.IsUp() {
 		return
@@ -35,14 +35,14 @@
 // mayClose reports whether the link to an entry may be closed.
 func (r *Runner) mayClose(e *entry) bool {
 	return e.retiring && e.session.IsUp() && e.retireSeq > 0 && e.session.Acked() >= e.retireSeq &&
-		len(e.unsent) == 0 && e.session.Settled() && !r.hasRuns(e)
+		len(e.unsent) == 0 && e.session.AllAcked() && !r.hasRuns(e)
 }
 
 // closeRetired asks the driver to close the links that are no longer used.
 func (r *Runner) closeRetired() {
 	for _, e := range r.entries {
 		if r.mayClose(e) {
-			r.ready.Closed = append(r.ready.Closed, e.incarnation)
+			r.ready.Disconnect = append(r.ready.Disconnect, e.incarnation)
 		}
 	}
 }
--- a/dispatch/runner/runner.go
+++ b/dispatch/runner/runner.go
@@ -6,29 +6,29 @@
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
 	"github.com/papayahoist/papayahoist/dispatch/bounds"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	"github.com/papayahoist/papayahoist/dispatch/evacuation"
 	"github.com/papayahoist/papayahoist/dispatch/event"
 	"github.com/papayahoist/papayahoist/dispatch/link"
 	"github.com/papayahoist/papayahoist/dispatch/size"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 )
 
 // Options configures a Runner.
 type Options struct {
 	Agent, Incarnation, FailureDomain string
 
-	Times bounds.Times
+	Timeouts bounds.Timeouts
 	// Link holds the timeouts of links to entries.
 	Link link.Options
 	// Token is the first fencing token. A later process beside the same worker must use a
 	// higher one, or raise it when the worker says so.
 	Token uint64
-	// Without is the set of disabled features, used to measure what each is worth.
-	Without without.Set
+	// Disabled is the set of disabled features, used to measure what each is worth.
+	Disabled disabled.Set
 	// Events receives events for the time line; nil records none.
 	Events *event.Ring
-	// Decided is called with each decision, for the log; it may be nil.
-	Decided func(Decision)
+	// OnDecision is called with each decision, for the log; it may be nil.
+	OnDecision func(Decision)
 }
 
 // Runner is the state of one worker's runs.
@@ -72,14 +72,14 @@
 
 // New returns a Runner without a worker.
 func New(o Options) *Runner {
-	if o.Decided == nil {
-		o.Decided = func(Decision) {}
+	if o.OnDecision == nil {
+		o.OnDecision = func(Decision) {}
 	}
 	return &Runner{opts: o, token: o.Token, runs: make(map[string]*run), recentRuns: make(map[string]uint32)}
 }
 
-// Leave stops taking orders. Runs in progress go on.
-func (r *Runner) Leave(now time.Time) {
+// Drain stops taking orders. Runs in progress go on.
+func (r *Runner) Drain(now time.Time) {
 	r.leaving = true
 	r.flushQueue(now)
 	r.markChanged()
@@ -104,10 +104,10 @@
 
 func (r *Runner) logDecision(now time.Time, d Decision) {
 	if !r.polledAt.IsZero() {
-		d.Age = now.Sub(r.polledAt)
+		d.PollAge = now.Sub(r.polledAt)
 	}
-	d.Free = r.freeCapacity()
-	r.opts.Decided(d)
+	d.FreeCapacity = r.freeCapacity()
+	r.opts.OnDecision(d)
 }
 
 // freeCapacity returns the capacity that no run takes.
@@ -126,7 +126,7 @@
 		return
 	}
 	for _, x := range slices.Clone(r.queue) {
-		r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonHeld)
+		r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonNotAccepting)
 	}
 }
 
@@ -136,13 +136,13 @@
 	for _, x := range slices.Clone(r.queue) {
 		// Ending one order may have started the next.
 		if x.phase == queued && !now.Before(x.waitUntil) {
-			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaited)
+			r.end(now, x, pb.OrderState_ORDER_STATE_REFUSED, ReasonWaitTimeout)
 		}
 	}
 	for _, x := range slices.Clone(r.runList) {
 		r.tickRun(now, x)
 	}
-	if r.unresponsive && r.Running() > 0 && now.After(r.leaseRenewedAt.Add(bounds.Lapse(r.opts.Times.Lease)+bounds.Slack)) {
+	if r.unresponsive && r.Running() > 0 && now.After(r.leaseRenewedAt.Add(bounds.LeaseExpiry(r.opts.Timeouts.Lease)+bounds.Slack)) {
 		// The worker has been out of reach for longer than its lease lasts, so it has ended all
 		// runs by itself.
 		r.loseRuns(now, unanswered, func(*run) string { return "the lease has lapsed" })
@@ -169,7 +169,7 @@
 		}
 	}
 	if r.unresponsive && r.Running() > 0 {
-		next = link.Earlier(next, r.leaseRenewedAt.Add(bounds.Lapse(r.opts.Times.Lease)+bounds.Slack+time.Millisecond))
+		next = link.Earlier(next, r.leaseRenewedAt.Add(bounds.LeaseExpiry(r.opts.Timeouts.Lease)+bounds.Slack+time.Millisecond))
 	}
 	return next
 }
--- a/dispatch/tally/tally.go
+++ b/dispatch/tally/tally.go
@@ -3,7 +3,7 @@
 // entry answers a request for the count from its own view. At rest no job waits that long, and
 // nothing is sent.
 //
-// The count is eventually consistent: SettleFor and the propagation to all entries together
+// The count is eventually consistent: MinWait and the propagation to all entries together
 // take less than the two seconds by which it may be old. The package does no I/O and reads no
 // clock; callers must serialize all calls.
 package tally
@@ -16,9 +16,9 @@
 )
 
 const (
-	// SettleFor is how long a job must have waited to be counted. Most jobs start sooner, and
+	// MinWait is how long a job must have waited to be counted. Most jobs start sooner, and
 	// reporting them would cost more than they do.
-	SettleFor = 500 * time.Millisecond
+	MinWait = 500 * time.Millisecond
 	// retention is how long a record counts that isn't renewed: its entry may have ended.
 	retention = 2 * time.Second
 	// renewInterval is how often an entry sends counts that have not changed.
@@ -72,7 +72,7 @@
 // Changes returns a number that grows when there is something new to send.
 func (v *View) Changes() uint64 { return v.changes }
 
-// SetOwn sets how many jobs have waited at this entry for SettleFor, by queue.
+// SetOwn sets how many jobs have waited at this entry for MinWait, by queue.
 func (v *View) SetOwn(now time.Time, jobs map[string]int) {
 	var counts []Count
 	for _, queue := range slices.Sorted(maps.Keys(jobs)) {
@@ -126,8 +126,8 @@
 	return out
 }
 
-// Others returns the number of jobs of a queue that wait at other entries.
-func (v *View) Others(now time.Time, queue string) (n int) {
+// CountElsewhere returns the number of jobs of a queue that wait at other entries.
+func (v *View) CountElsewhere(now time.Time, queue string) (n int) {
 	v.forget(now)
 	for _, h := range v.others {
 		for _, c := range h.Counts {
--- a/node/agent/agent.go
+++ b/node/agent/agent.go
@@ -184,7 +184,7 @@
 	a.log.Info("draining", "limit", a.opts.DrainTimeout)
 	a.leaving.Store(true)
 	a.step(a.core.Leave)
-	if !rpc.Drain(a.opts.DrainTimeout, a.drained) {
+	if !rpc.WaitDrained(a.opts.DrainTimeout, a.drained) {
 		a.recordProcess(event.DrainEnded, "limit reached with work left")
 		a.log.Warn("drain limit reached")
 		return
@@ -237,10 +237,10 @@
 	for _, o := range ready.Frames {
 		if l := a.links[o.Entry]; l != nil && l.epoch == o.Epoch {
 			l.out.Put(o.Frame)
-			a.opts.Metrics.Message(metrics.AgentFrameKind(o.Frame), metrics.Sent, proto.Size(o.Frame))
+			a.opts.Metrics.CountMessage(metrics.AgentFrameKind(o.Frame), metrics.Sent, proto.Size(o.Frame))
 		}
 	}
-	for _, entry := range ready.Relink {
+	for _, entry := range ready.Reconnect {
 		if l := a.links[entry]; l != nil {
 			l.cancel()
 		}
--- a/node/config/editor.go
+++ b/node/config/editor.go
@@ -44,8 +44,8 @@
 // Apply makes a change and returns the revision that it created. It is idempotent:
 // a change that was applied before with the same id is not applied again. Errors
 // are of type contract.ErrInvalid, contract.ErrConflict, contract.ErrMalformed,
-// ErrUnavailable, ErrRefused or ErrNotKnown. Nothing was changed unless the error
-// is ErrNotKnown.
+// ErrUnavailable, ErrRefused or ErrOutcomeUnknown. Nothing was changed unless the error
+// is ErrOutcomeUnknown.
 func (e *Editor) Apply(ctx context.Context, change contract.Change) (uint64, error) {
 	a := attempt{editor: e, change: change}
 	for attempts := 1; ; attempts++ {
@@ -65,7 +65,7 @@
 	editor *Editor
 	change contract.Change
 	// pending is set while the outcome of a write is unknown.
-	pending *Pending
+	pending *PendingChange
 }
 
 // try reads the record, resolves a pending write, and writes the change. Writing
@@ -77,20 +77,20 @@
 		return 0, err
 	}
 	if p := a.pending; p != nil {
-		resolution, revision := contract.Resolve(stored, p.ChangeID, p.Prev)
+		resolution, revision := contract.Resolve(stored, p.ChangeID, p.PrevRevision)
 		switch {
 		case resolution == contract.Applied:
 			a.pending = nil
 			return revision, nil
 		case resolution == contract.NotApplied:
 			a.pending = nil
-		case revision != p.Prev:
-			return 0, newNotKnown(*p, nil)
+		case revision != p.PrevRevision:
+			return 0, newOutcomeUnknown(*p, nil)
 		}
 	}
-	plan, err := contract.Make(a.change, stored)
-	if err != nil || plan.Applied > 0 {
-		return plan.Applied, err
+	plan, err := contract.PlanChange(a.change, stored)
+	if err != nil || plan.AppliedRevision > 0 {
+		return plan.AppliedRevision, err
 	}
 	return a.write(ctx, plan)
 }
@@ -101,9 +101,9 @@
 	if err != nil {
 		return 0, err
 	}
-	revision, err := a.editor.store.CompareAndSwap(ctx, contract.Key(name), store.Revision(plan.Prev), value, 0)
+	revision, err := a.editor.store.CompareAndSwap(ctx, contract.Key(name), store.Revision(plan.PrevRevision), value, 0)
 	if store.IsUnknown(err) {
-		a.pending = &Pending{Contract: name, ChangeID: a.change.ID, Prev: plan.Prev}
+		a.pending = &PendingChange{Contract: name, ChangeID: a.change.ID, PrevRevision: plan.PrevRevision}
 	}
 	return uint64(revision), err
 }
@@ -116,8 +116,8 @@
 // finalError translates errors of the store. An unresolved write takes precedence
 // over any later error.
 func (a *attempt) finalError(err error) error {
-	if err != nil && a.pending != nil && !errorx.IsOfType(err, ErrNotKnown) {
-		return newNotKnown(*a.pending, err)
+	if err != nil && a.pending != nil && !errorx.IsOfType(err, ErrOutcomeUnknown) {
+		return newOutcomeUnknown(*a.pending, err)
 	}
 	return translateError(err)
 }
@@ -232,7 +232,7 @@
 	if err != nil {
 		return 0, translateError(err)
 	}
-	if applied := contract.Find(stored, id); applied > 0 {
+	if applied := contract.FindChange(stored, id); applied > 0 {
 		return applied, nil
 	}
 	if stored == nil {
@@ -242,17 +242,17 @@
 	if err != nil {
 		return 0, err
 	}
-	return e.Apply(ctx, contract.Change{Contract: wanted, ID: id, By: by, At: at})
+	return e.Apply(ctx, contract.Change{Contract: wanted, ID: id, Author: by, At: at})
 }
 
 // Resolve determines the outcome of a pending change. The result
-// contract.NotKnown means that the change is not found applied so far and that it
+// contract.Unknown means that the change is not found applied so far and that it
 // can't be ruled out; see contract.Resolve.
-func (e *Editor) Resolve(ctx context.Context, p Pending) (contract.Resolution, uint64, error) {
+func (e *Editor) Resolve(ctx context.Context, p PendingChange) (contract.Resolution, uint64, error) {
 	stored, err := e.record(ctx, p.Contract)
 	if err != nil {
-		return contract.NotKnown, 0, translateError(err)
+		return contract.Unknown, 0, translateError(err)
 	}
-	resolution, revision := contract.Resolve(stored, p.ChangeID, p.Prev)
+	resolution, revision := contract.Resolve(stored, p.ChangeID, p.PrevRevision)
 	return resolution, revision, nil
 }
--- a/node/config/editor_test.go
+++ b/node/config/editor_test.go
@@ -26,13 +26,13 @@
 func change(id string, from uint64, weight uint32) contract.Change {
 	return contract.Change{
 		Contract: &pb.Contract{Name: "desk", Revision: from, Rate: 5, Concurrency: 4, Waiting: 10, MemoryBytes: 1 << 30, Weight: weight},
-		ID:       id, By: "ann", At: time.Unix(100, 0),
+		ID:       id, Author: "ann", At: time.Unix(100, 0),
 	}
 }
 
 // The store fails while an operator changes a contract. The result must be
 // accurate: success only if the change was applied, an error other than
-// ErrNotKnown only if it was not. In no case is the change applied twice.
+// ErrOutcomeUnknown only if it was not. In no case is the change applied twice.
 func TestApplyDuringStoreFaults(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -81,9 +81,9 @@
 }
 
 // The write takes effect, its answer is lost, and the store becomes unavailable, so
-// that Apply returns ErrNotKnown. A later retry with the same id must report that
+// that Apply returns ErrOutcomeUnknown. A later retry with the same id must report that
 // the change was applied, and must not apply it twice.
-func TestRetryAfterNotKnown(t *testing.T) {
+func TestRetryAfterOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := kv.New(kv.Options{})
 		e := newEditor(server)
@@ -100,7 +100,7 @@
 		}()
 		_, err = e.Apply(t.Context(), change("c2", first, 2))
 		pending, ok := config.PendingOf(err)
-		if want := (config.Pending{Contract: "desk", ChangeID: "c2", Prev: first}); !ok || pending != want || !errorx.IsOfType(err, config.ErrNotKnown) {
+		if want := (config.PendingChange{Contract: "desk", ChangeID: "c2", PrevRevision: first}); !ok || pending != want || !errorx.IsOfType(err, config.ErrOutcomeUnknown) {
 			t.Fatalf("Apply: %v, pending %+v", err, pending)
 		}
 		if _, _, err := e.Resolve(t.Context(), pending); !errorx.IsOfType(err, config.ErrUnavailable) {
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -55,7 +55,7 @@
 	server     *http.Server
 	routes     atomic.Pointer[routes]
 	peers      *peers
-	suspension dispatcher.Wake
+	suspension dispatcher.SuspensionDetector
 	ctx        context.Context
 	cancel     context.CancelFunc
 
@@ -111,7 +111,7 @@
 // Close closes all links. It first notifies the agents that the results of their runs are
 // no longer needed.
 func (d *Dispatcher) Close() {
-	d.decide(func(time.Time) { d.core.End() })
+	d.decide(func(time.Time) { d.core.NotifyExit() })
 	time.Sleep(finalFrameTime)
 	d.cancel()
 	_ = d.server.Close()
@@ -142,7 +142,7 @@
 		}
 		delete(d.callers, a.Number)
 	}
-	for _, w := range r.Wants {
+	for _, w := range r.AgentRequests {
 		go d.invite(w)
 	}
 	for _, agent := range r.Close {
@@ -183,7 +183,7 @@
 			return
 		}
 		delete(d.callers, number)
-		d.core.CallerGone(now, number)
+		d.core.CallerDisconnected(now, number)
 	})
 	return dispatcher.Answer{}, false
 }
@@ -191,7 +191,7 @@
 // holdAfterSuspension delays a request if the process was suspended just before. It
 // returns false if the caller disconnects meanwhile.
 func (d *Dispatcher) holdAfterSuspension(ctx context.Context) bool {
-	hold := d.suspension.Hold(clock.Now(), clock.Steady())
+	hold := d.suspension.Hold(clock.Now(), clock.Monotonic())
 	if hold == 0 {
 		return true
 	}
@@ -204,18 +204,18 @@
 	}
 }
 
-// Open returns the number of jobs without an answer.
-func (d *Dispatcher) Open() int {
+// OpenJobs returns the number of jobs without an answer.
+func (d *Dispatcher) OpenJobs() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Open()
+	return d.core.OpenJobs()
 }
 
-// State reports whether this entry holds a job, and whether the job has started.
-func (d *Dispatcher) State(queue, id string) (known, started bool) {
+// JobState reports whether this entry holds a job, and whether the job has started.
+func (d *Dispatcher) JobState(queue, id string) (known, started bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.State(queue, id)
+	return d.core.JobState(queue, id)
 }
 
 // Cancel cancels a job at this entry or at another one. It returns false if none of the
@@ -229,17 +229,17 @@
 	return known
 }
 
-// Waiting returns the number of a queue's jobs of which nothing has started: those at this
+// WaitingJobs returns the number of a queue's jobs of which nothing has started: those at this
 // entry, and those that have waited for a minimum time at other entries; see package
 // tally.
-func (d *Dispatcher) Waiting(queue string) int {
+func (d *Dispatcher) WaitingJobs(queue string) int {
 	return d.waitingLocal(0)[queue] + d.peers.waiting(queue)
 }
 
 func (d *Dispatcher) waitingLocal(since time.Duration) map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Waiting(clock.Now(), since)
+	return d.core.WaitingJobs(clock.Now(), since)
 }
 
 // Links returns the number of agents with a link.
@@ -289,9 +289,9 @@
 	return d.core.Configuration()
 }
 
-// Find returns the queue for a host and path, the rest of the path after the queue's
+// FindQueue returns the queue for a host and path, the rest of the path after the queue's
 // prefix, and the version of the configuration. The queue is nil if none matches.
-func (d *Dispatcher) Find(host, path string) (q *pb.Queue, rest string, version uint64) {
+func (d *Dispatcher) FindQueue(host, path string) (q *pb.Queue, rest string, version uint64) {
 	return d.routes.Load().find(host, path)
 }
 
@@ -304,15 +304,15 @@
 // Entries returns the addresses of the entries known to be alive, including this one.
 func (d *Dispatcher) Entries() []string { return d.peers.alive() }
 
-// Leave notifies the other entries that this one shuts down after the given time. Jobs that
+// Drain notifies the other entries that this one shuts down after the given time. Jobs that
 // can't complete by then are answered shortly before.
-func (d *Dispatcher) Leave(timeout time.Duration) {
+func (d *Dispatcher) Drain(timeout time.Duration) {
 	d.peers.leave()
-	d.decide(func(now time.Time) { d.core.Leave(now, now.Add(timeout-finalAnswerTime)) })
+	d.decide(func(now time.Time) { d.core.Drain(now, now.Add(timeout-finalAnswerTime)) })
 }
 
 // finalAnswerTime is the time for the last answers to be sent before the process ends.
 const finalAnswerTime = 100 * time.Millisecond
 
-// Learn adds addresses of entries that were found by other means.
-func (d *Dispatcher) Learn(addresses []string) { d.peers.addCandidates(addresses) }
+// AddEntries adds addresses of entries that were found by other means.
+func (d *Dispatcher) AddEntries(addresses []string) { d.peers.addCandidates(addresses) }
--- a/node/dispatcher/exchange_test.go
+++ b/node/dispatcher/exchange_test.go
@@ -14,13 +14,13 @@
 
 func newTestDispatcher(t *testing.T, seeds ...string) *Dispatcher {
 	t.Helper()
-	times, err := bounds.Derive(bounds.Given{})
+	times, err := bounds.Derive(bounds.Params{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d, err := New(Options{
 		NodesListen: "127.0.0.1:0", Seeds: seeds, Logger: slog.New(slog.DiscardHandler),
-		Core: dispatcher.Options{Entry: "e", Incarnation: t.Name() + time.Now().String(), Times: times},
+		Core: dispatcher.Options{Entry: "e", Incarnation: t.Name() + time.Now().String(), Timeouts: times},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -132,10 +132,10 @@
 	all[nonPartner].decide(func(now time.Time) {
 		all[nonPartner].core.Submit(now, dispatcher.Job{ID: "1", Queue: &pb.Queue{Name: "q", Service: "s", TargetMs: 5000}, Steps: []dispatcher.Step{{Count: 1}}})
 	})
-	if got := all[nonPartner].Waiting("q"); got != 1 {
+	if got := all[nonPartner].WaitingJobs("q"); got != 1 {
 		t.Fatalf("%d jobs waiting at the entry that holds one", got)
 	}
-	for one.Waiting("q") != 3 {
+	for one.WaitingJobs("q") != 3 {
 		all[nonPartner].peers.countWaiting(map[string]int{"q": 3}) // as if they had waited for the minimum time
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/node/dispatcher/links.go
+++ b/node/dispatcher/links.go
@@ -46,7 +46,7 @@
 	}
 	defer d.linkDown(g, l)
 	go d.readLink(stream, g, end)
-	return l.out.Drain(ctx, stream.Send)
+	return l.out.SendAll(ctx, stream.Send)
 }
 
 func (d *Dispatcher) linkUp(g *pb.AgentGreeting, l *link) (ok bool) {
@@ -93,9 +93,9 @@
 // Invite invites agents of this entry to link to another one.
 func (s *service) Invite(_ context.Context, req *connect.Request[pb.InviteRequest]) (*connect.Response[pb.InviteResponse], error) {
 	m := req.Msg
-	w := dispatcher.Want{Service: m.Service, Size: size.Of(m.Size), Label: m.Label, Agents: int(min(m.Agents, maxInvitedAgents))}
+	w := dispatcher.AgentRequest{Service: m.Service, Size: size.FromMessage(m.Size), Label: m.Label, MaxAgents: int(min(m.Agents, maxInvitedAgents))}
 	invited := 0
-	s.d.decide(func(now time.Time) { invited = s.d.core.Invite(now, m.Address, w) })
+	s.d.decide(func(now time.Time) { invited = s.d.core.InviteAgents(now, m.Address, w) })
 	return connect.NewResponse(&pb.InviteResponse{Agents: uint32(invited)}), nil
 }
 
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -51,9 +51,9 @@
 	// FindPeer returns the entry with the given incarnation if it may be reachable,
 	// otherwise nil. It must not block. If it is nil, Peers are searched.
 	FindPeer func(incarnation string) *pb.Peer
-	// Exchange handles another entry's state and returns this entry's. If it is
+	// HandleExchange handles another entry's state and returns this entry's. If it is
 	// nil, the call is not served.
-	Exchange func(*pb.PeerState) *pb.PeerState
+	HandleExchange func(*pb.PeerState) *pb.PeerState
 	// ExchangeNow starts an exchange with every other entry. It must not block. If
 	// it is nil, only the periodic exchanges take place.
 	ExchangeNow func()
@@ -107,7 +107,7 @@
 	cancel    context.CancelFunc
 	killed    atomic.Bool
 
-	clients        *rpc.Clients // for other entries
+	clients        *rpc.ClientCache // for other entries
 	forwardRetries *retry.Policy
 	leaving        atomic.Bool
 
@@ -133,7 +133,7 @@
 	}
 	e := &Entry{
 		opts: opts, log: opts.Logger,
-		clients: rpc.NewClients(opts.NodesTLS), forwardRetries: newForwardRetries(),
+		clients: rpc.NewClientCache(opts.NodesTLS), forwardRetries: newForwardRetries(),
 		links:   make(map[string]*agentLink),
 		waiters: make(map[string][]chan *pb.Answer),
 	}
@@ -234,7 +234,7 @@
 	e.log.Info("draining", "limit", e.opts.DrainTimeout)
 	e.leaving.Store(true)
 	e.step(e.core.Leave)
-	if !rpc.Drain(e.opts.DrainTimeout, e.drained) {
+	if !rpc.WaitDrained(e.opts.DrainTimeout, e.drained) {
 		e.recordProcess(event.DrainEnded, "limit reached with jobs left")
 		e.log.Warn("drain limit reached")
 		return
@@ -255,7 +255,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if !e.killed.Load() {
-		e.step(e.core.End)
+		e.step(e.core.NotifyExit)
 		_ = servers[0].Shutdown(ctx)
 		time.Sleep(exitFrameDelay)
 	}
--- a/node/entry/operators.go
+++ b/node/entry/operators.go
@@ -46,7 +46,7 @@
 // Status implements operator.StatusSource.
 func (e *Entry) Status() *pb.StatusResponse {
 	e.mu.Lock()
-	agents, usage := e.core.AgentStatuses(), e.core.Uses()
+	agents, usage := e.core.AgentStatuses(), e.core.Usage()
 	e.mu.Unlock()
 	s := &pb.StatusResponse{
 		Process:       e.opts.Hello.Entry,
@@ -75,7 +75,7 @@
 }
 
 // contractStatuses returns the status of the contracts in force, sorted by name.
-func (e *Entry) contractStatuses(usage map[string]entry.Use) []*pb.ContractStatus {
+func (e *Entry) contractStatuses(usage map[string]entry.ContractUsage) []*pb.ContractStatus {
 	var list []*pb.ContractStatus
 	for _, c := range e.contracts() {
 		series, use := e.opts.Metrics.Contract(c.Name), usage[c.Name]
@@ -86,7 +86,7 @@
 			MemoryBytes: use.MemoryBytes,
 			Offered:     series.Offered.Value(),
 			Served:      series.Served.Value(),
-			Started:     series.TasksStarted.Value(),
+			Started:     series.TasksDispatched.Value(),
 			Refused:     series.RefusedCounts(),
 		})
 	}
@@ -146,7 +146,7 @@
 
 // series returns the counters of a contract. Only contracts in the configuration
 // have counters of their own.
-func (e *Entry) series(contract string) *metrics.Contract {
+func (e *Entry) series(contract string) *metrics.ContractMetrics {
 	if e.opts.Contract != nil && e.opts.Contract(contract) != nil {
 		e.opts.Metrics.AddContract(contract)
 	}
@@ -158,21 +158,21 @@
 	c := e.series(contract)
 	c.Offered.Add(1)
 	if answer != nil && answer.Outcome == pb.Outcome_OUTCOME_NOT_RUN {
-		c.Refused(jobs.Code(answer.Code))
+		c.CountRefused(jobs.Code(answer.Code))
 	}
 }
 
 // countAnswer counts the outcome of a job that Ready has just answered.
-func (e *Entry) countAnswer(answered entry.Ended) {
+func (e *Entry) countAnswer(answered entry.JobAnswer) {
 	a, c := answered.Answer, e.series(answered.Contract)
 	switch a.Outcome {
 	case pb.Outcome_OUTCOME_COMPLETE:
 		c.Served.Add(1)
-		if response, ideal, ok := e.core.Answered(answered); ok {
-			c.Response(response, ideal)
+		if response, ideal, ok := e.core.ResponseTime(answered); ok {
+			c.ObserveResponse(response, ideal)
 		}
 	case pb.Outcome_OUTCOME_NOT_RUN:
-		c.Refused(jobs.Code(a.Code))
+		c.CountRefused(jobs.Code(a.Code))
 	case pb.Outcome_OUTCOME_UNKNOWN:
 		c.Unknown.Inc()
 	default:
@@ -182,9 +182,9 @@
 
 // countFrame counts a frame sent to an agent and the tasks that it starts.
 func (e *Entry) countFrame(f *pb.EntryFrame, bytes int) {
-	e.opts.Metrics.Message(metrics.EntryFrameKind(f), metrics.Sent, bytes)
+	e.opts.Metrics.CountMessage(metrics.EntryFrameKind(f), metrics.Sent, bytes)
 	for _, b := range f.Starts {
-		e.series(b.Contract).TasksStarted.Add(len(b.Tasks))
+		e.series(b.Contract).TasksDispatched.Add(len(b.Tasks))
 	}
 }
 
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -9,22 +9,22 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
-	"github.com/papayahoist/papayahoist/dispatch/door"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 	"github.com/papayahoist/papayahoist/node/metrics"
 )
 
 // Exchange handles another entry's state and returns this entry's.
 func (s *nodesService) Exchange(_ context.Context, req *connect.Request[pb.PeerState]) (*connect.Response[pb.PeerState], error) {
 	e := s.e
-	if e.opts.Exchange == nil {
+	if e.opts.HandleExchange == nil {
 		return nil, connect.NewError(connect.CodeUnimplemented, ErrStart.New("this entry does not exchange state"))
 	}
 	if req.Msg.GetSelf().GetIncarnation() == "" {
 		return nil, connect.NewError(connect.CodeInvalidArgument, ErrStart.New("the state lacks its sender's incarnation"))
 	}
-	answer := e.opts.Exchange(req.Msg)
-	e.opts.Metrics.Message(metrics.MessageExchange, metrics.Received, proto.Size(req.Msg))
-	e.opts.Metrics.Message(metrics.MessageExchange, metrics.Sent, proto.Size(answer))
+	answer := e.opts.HandleExchange(req.Msg)
+	e.opts.Metrics.CountMessage(metrics.MessageExchange, metrics.Received, proto.Size(req.Msg))
+	e.opts.Metrics.CountMessage(metrics.MessageExchange, metrics.Sent, proto.Size(answer))
 	return connect.NewResponse(answer), nil
 }
 
@@ -37,7 +37,7 @@
 	now := time.Now()
 	state.Clock = e.opts.Core.Events.Stamp(now)
 	e.extendShares(to, state)
-	stamp, echoes := e.core.Door().State(now)
+	stamp, echoes := e.core.KeyResolver().State(now)
 	state.DoorUnixNs = stamp.UnixNano()
 	for _, echo := range echoes {
 		state.DoorEchoes = append(state.DoorEchoes, &pb.DoorEcho{Entry: echo.Entry, UnixNs: echo.Stamp.UnixNano()})
@@ -77,7 +77,7 @@
 			return
 		}
 		e.sharesReceived[sender] = state.Clock
-		e.core.SharesSeen(now, state.Shares)
+		e.core.ReceiveShares(now, state.Shares)
 	})
 }
 
@@ -85,28 +85,28 @@
 	if state.DoorUnixNs == 0 {
 		return
 	}
-	echoes := make([]door.Echo, 0, len(state.DoorEchoes))
+	echoes := make([]keyhome.Echo, 0, len(state.DoorEchoes))
 	for _, echo := range state.DoorEchoes {
-		echoes = append(echoes, door.Echo{Entry: echo.Entry, Stamp: time.Unix(0, echo.UnixNs)})
+		echoes = append(echoes, keyhome.Echo{Entry: echo.Entry, Stamp: time.Unix(0, echo.UnixNs)})
 	}
-	e.core.Door().Heard(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
+	e.core.KeyResolver().ReceiveState(now, state.GetSelf().GetIncarnation(), time.Unix(0, state.DoorUnixNs), echoes)
 }
 
-// Announced records that the entry's announcement in the store is valid until the
+// AnnouncementRenewed records that the entry's announcement in the store is valid until the
 // given time, which is counted from before the call to the store. It returns true
 // if the list of entries must be read from the store and applied.
-func (e *Entry) Announced(until time.Time) (list bool) {
+func (e *Entry) AnnouncementRenewed(until time.Time) (list bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.core.Door().Announced(time.Now(), until)
+	return e.core.KeyResolver().AnnouncementRenewed(time.Now(), until)
 }
 
-// Listed applies the complete list of entries in the store, read in a call that
+// ApplyList applies the complete list of entries in the store, read in a call that
 // began at readAt.
-func (e *Entry) Listed(readAt time.Time, incarnations []string) {
+func (e *Entry) ApplyList(readAt time.Time, incarnations []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Door().Listed(time.Now(), readAt, incarnations)
+	e.core.KeyResolver().ApplyList(time.Now(), readAt, incarnations)
 }
 
 // SetPeers sets the live entries, including this one, and notifies the agents of a
@@ -119,29 +119,29 @@
 	e.step(func(time.Time) {
 		if !slices.Equal(advertised, e.advertised) {
 			e.advertised = advertised
-			e.core.TellPeers(peers)
+			e.core.NotifyPeers(peers)
 		}
 	})
 }
 
-// SetStarters sets which other entries may start tasks, whether this entry is
+// SetPossibleStarters sets which other entries may start tasks, whether this entry is
 // fenced and must not start any, and the names of all contracts in force.
-func (e *Entry) SetStarters(others []string, fenced bool, contracts []string) {
+func (e *Entry) SetPossibleStarters(others []string, fenced bool, contracts []string) {
 	e.step(func(now time.Time) {
 		received, acked := make(map[string]uint64, len(others)), make(map[string]uint64, len(others))
 		for _, incarnation := range others {
 			received[incarnation], acked[incarnation] = e.sharesReceived[incarnation], e.sharesAcked[incarnation]
 		}
 		e.sharesReceived, e.sharesAcked = received, acked
-		e.core.PeersSeen(now, others, contracts)
+		e.core.UpdateEntries(now, others, contracts)
 		e.core.Fence(now, fenced)
 	})
 }
 
-// HoldsParts reports whether the entry holds a share of any contract and so may
+// HoldsShares reports whether the entry holds a share of any contract and so may
 // start tasks. It is also true while no contract allows any tasks.
-func (e *Entry) HoldsParts() bool {
+func (e *Entry) HoldsShares() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.core.HoldsParts()
+	return e.core.HoldsShares()
 }
--- a/node/entry/route.go
+++ b/node/entry/route.go
@@ -6,9 +6,9 @@
 
 	"github.com/papayahoist/papayahoist/api/jobs"
 	pb "github.com/papayahoist/papayahoist/api/papayahoistv1"
-	"github.com/papayahoist/papayahoist/dispatch/door"
 	"github.com/papayahoist/papayahoist/dispatch/entry"
 	"github.com/papayahoist/papayahoist/dispatch/job"
+	"github.com/papayahoist/papayahoist/dispatch/keyhome"
 )
 
 // route serves a request locally if this entry is the job's home, and forwards it
@@ -35,7 +35,7 @@
 		ended = result == homeEnded
 	}
 	if rq.fetch || rq.cancel || len(rq.job.Tasks) == 0 {
-		return reply{answer: entry.AskAgain(id, "the job's home does not reply; submit the job again to recover its results"), known: true}
+		return reply{answer: entry.RetryLater(id, "the job's home does not reply; submit the job again to recover its results"), known: true}
 	}
 	return e.recover(ctx, rq, ended)
 }
@@ -54,14 +54,14 @@
 
 // routeKey serves a request whose id is a caller-made key, which names no home.
 func (e *Entry) routeKey(ctx context.Context, rq request) reply {
-	var verdict door.Verdict
+	var verdict keyhome.Verdict
 	var home string
 	rq.job.Contract = rq.contract
 	e.step(func(now time.Time) { verdict, home = e.core.KeyHome(now, rq.job) })
 	switch verdict {
-	case door.Mine:
+	case keyhome.Local:
 		return e.serveLocal(ctx, rq)
-	case door.Other:
+	case keyhome.Remote:
 		if p := e.findPeer(home); p != nil {
 			if rp, result := e.forward(ctx, p, rq); result == homeReplied {
 				return rp
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -92,7 +92,7 @@
 	e := NewEntry(reg, Options{Role: "entry"})
 	before := series(t, reg)
 	e.AddContract("stamps")
-	e.Contract("stamps").Refused(jobs.CodeRateLimited)
+	e.Contract("stamps").CountRefused(jobs.CodeRateLimited)
 	e.RemoveContract("stamps")
 	e.RemoveContract("never-there")
 	if after := series(t, reg); after != before {
@@ -107,12 +107,12 @@
 	e.SetState(func() EntryState { return EntryState{JobsInFlight: 7, StoreUp: true} })
 	e.AddContract("reports")
 	c := e.Contract("reports")
-	c.Refused(jobs.CodeQueueFull)
-	c.Refused("a-code-of-tomorrow")
-	c.Response(300*time.Millisecond, 200*time.Millisecond)
-	c.Response(300*time.Millisecond, 0)
-	e.StoreCall(StoreWrite, time.Millisecond, nil)
-	e.StoreCall(StoreWrite, time.Second, errors.New("timeout"))
+	c.CountRefused(jobs.CodeQueueFull)
+	c.CountRefused("a-code-of-tomorrow")
+	c.ObserveResponse(300*time.Millisecond, 200*time.Millisecond)
+	c.ObserveResponse(300*time.Millisecond, 0)
+	e.ObserveStoreCall(StoreWrite, time.Millisecond, nil)
+	e.ObserveStoreCall(StoreWrite, time.Second, errors.New("timeout"))
 	for range 3 {
 		ring.Record(time.Unix(0, 0), event.Event{Kind: event.JobForwarded})
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func refusedText(c *Contract) string {
+func refusedText(c *ContractMetrics) string {
 	var parts []string
 	for _, r := range c.RefusedCounts() {
 		parts = append(parts, fmt.Sprintf("code:%q count:%d", r.Code, r.Count))
@@ -186,7 +186,7 @@
 func TestFrameKinds(t *testing.T) {
 	entry := []struct {
 		frame *pb.EntryFrame
-		want  Message
+		want  MessageKind
 	}{
 		{&pb.EntryFrame{Hello: &pb.EntryHello{}}, MessageHello},
 		{&pb.EntryFrame{Starts: []*pb.StartBatch{{}}, Want: 1}, MessageStart},
@@ -205,7 +205,7 @@
 	}
 	agent := []struct {
 		frame *pb.AgentFrame
-		want  Message
+		want  MessageKind
 	}{
 		{&pb.AgentFrame{Hello: &pb.AgentHello{}}, MessageHello},
 		{&pb.AgentFrame{News: []*pb.TaskNews{{}}, Granted: 1}, MessageUpdate},
@@ -230,10 +230,10 @@
 	for b.Loop() {
 		c := e.Contract("reports")
 		c.Offered.Add(1)
-		c.TasksStarted.Add(1)
-		e.Message(MessageStart, Sent, 200)
-		e.Message(MessageUpdate, Received, 200)
+		c.TasksDispatched.Add(1)
+		e.CountMessage(MessageStart, Sent, 200)
+		e.CountMessage(MessageUpdate, Received, 200)
 		c.Served.Add(1)
-		c.Response(300*time.Millisecond, 200*time.Millisecond)
+		c.ObserveResponse(300*time.Millisecond, 200*time.Millisecond)
 	}
 }
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -37,9 +37,9 @@
 	// the defaults.
 	LeaseTTL time.Duration
 	Member   member.Options
-	// Events is the number of events that the time line keeps. If zero, a default
+	// EventCapacity is the number of events that the time line keeps. If zero, a default
 	// applies.
-	Events int
+	EventCapacity int
 	// Registry is where metrics are registered. If nil, NewEntry creates one.
 	Registry *prometheus.Registry
 	Version  string
@@ -126,7 +126,7 @@
 	for _, c := range e.config.Snapshot().All() {
 		contracts = append(contracts, c.Name)
 	}
-	e.SetStarters(others, fenced, contracts)
+	e.SetPossibleStarters(others, fenced, contracts)
 }
 
 // ready returns why the entry can't serve callers yet, or nil. Without contracts
@@ -134,11 +134,11 @@
 // callers would wait in vain.
 func (e *Entry) ready() error {
 	switch {
-	case e.config.Snapshot().Covered() == 0:
+	case e.config.Snapshot().CompleteUpTo() == 0:
 		return errNotReady.New("no contracts received yet")
 	case !e.membership.Discovered():
 		return errNotReady.New("other entries not discovered yet")
-	case !e.HoldsParts():
+	case !e.HoldsShares():
 		return errNotReady.New("no share of any contract held yet")
 	}
 	return nil
@@ -161,8 +161,8 @@
 	}
 	s := o.Settings
 	b := &entryBuilder{opts: o, started: time.Now()}
-	o.Events = cmp.Or(o.Events, defaultEvents)
-	b.ring = event.NewRing(event.Options{Process: s.Name, Size: o.Events})
+	o.EventCapacity = cmp.Or(o.EventCapacity, defaultEvents)
+	b.ring = event.NewRing(event.Options{Process: s.Name, Size: o.EventCapacity})
 	b.metrics = metrics.NewEntry(o.Registry, metrics.Options{Role: string(s.Role), Version: o.Version, Ring: b.ring})
 	b.log = newLogger(o.Logger, s.Name, b.metrics.Process)
 	b.hello = &pb.EntryHello{
@@ -181,19 +181,19 @@
 	s, core := b.opts.Settings, b.opts.Core
 	core.Events = b.ring
 	if p, ok := preset.ByName(s.Preset); ok {
-		core.UsePreset(p)
+		core.ApplyPreset(p)
 	}
 	e.Entry, err = entry.New(entry.Options{
 		Hello: b.hello, CallersListen: s.CallersListen, NodesListen: s.NodesListen, OperatorsListen: s.OperatorsListen,
-		Contract:    e.config.Contract,
-		Contracts:   func() []*pb.Contract { return e.config.Snapshot().All() },
-		Peers:       func() []*pb.Peer { return e.membership.Peers() },
-		FindPeer:    func(incarnation string) *pb.Peer { return e.membership.Find(incarnation) },
-		Exchange:    func(state *pb.PeerState) *pb.PeerState { return e.membership.Serve(state) },
-		ExchangeNow: func() { e.membership.ExchangeNow() },
-		StoreError:  func() string { return e.membership.StoreError() },
-
-		ConfigRevision: func() uint64 { return e.config.Snapshot().Covered() },
+		Contract:       e.config.Contract,
+		Contracts:      func() []*pb.Contract { return e.config.Snapshot().All() },
+		Peers:          func() []*pb.Peer { return e.membership.Peers() },
+		FindPeer:       func(incarnation string) *pb.Peer { return e.membership.Find(incarnation) },
+		HandleExchange: func(state *pb.PeerState) *pb.PeerState { return e.membership.Serve(state) },
+		ExchangeNow:    func() { e.membership.ExchangeNow() },
+		StoreError:     func() string { return e.membership.StoreError() },
+
+		ConfigRevision: func() uint64 { return e.config.Snapshot().CompleteUpTo() },
 		Ready:          e.ready,
 		CallersTLS:     b.tls.callers.Config(), NodesTLS: b.tls.nodes.Config(), OperatorsTLS: b.tls.operators.Config(),
 		DrainTimeout: s.DrainTimeout, Core: core, Version: b.opts.Version,
@@ -215,11 +215,11 @@
 		Events:      b.ring,
 		Exchanger:   countingExchanger{membership.NewConnect(b.tls.nodes.Config()), b.metrics},
 		ExtendState: e.ExtendState, OnState: e.StateReceived,
-		OnPeers: e.SetPeers, OnStarters: e.startersChanged, OnAnnounced: e.Announced, OnListed: e.Listed,
+		OnPeers: e.SetPeers, OnStarters: e.startersChanged, OnAnnounced: e.AnnouncementRenewed, OnListed: e.ApplyList,
 		LeaseTTL: b.opts.LeaseTTL, Member: b.opts.Member, Logger: b.log,
 	})
 	// Fence the entry until the shares of the other entries are known.
-	e.SetStarters(nil, true, nil)
+	e.SetPossibleStarters(nil, true, nil)
 	e.config.OnChange(func(newer []*pb.Contract, _ *contract.Snapshot) {
 		for _, c := range newer {
 			b.recordContract(c)
--- a/node/process/fleet_test.go
+++ b/node/process/fleet_test.go
@@ -119,7 +119,7 @@
 		edit(c)
 	}
 	editor := config.NewEditor(etcdv3.New("http://"+f.store, etcdv3.Options{}), config.EditorOptions{})
-	revision, err := editor.Apply(context.Background(), contract.Change{Contract: c, ID: id, By: "ann", At: time.Now()})
+	revision, err := editor.Apply(context.Background(), contract.Change{Contract: c, ID: id, Author: "ann", At: time.Now()})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 
 func (f *fleet) inForce(revision uint64) bool {
 	return !slices.ContainsFunc(f.entries, func(e *fleetEntry) bool {
-		return e.Config().Snapshot().Held("desk").GetRevision() < revision
+		return e.Config().Snapshot().Latest("desk").GetRevision() < revision
 	})
 }
 
@@ -161,7 +161,7 @@
 func TestCrashDeletionAndOutage(t *testing.T) {
 	// A tenth of the intervals in production.
 	f := &fleet{t: t, leaseTTL: 3 * time.Second, member: member.Options{
-		Exchange: 200 * time.Millisecond, DeadAfter: 800 * time.Millisecond, GoneAfter: 1600 * time.Millisecond,
+		ExchangeInterval: 200 * time.Millisecond, DeadAfter: 800 * time.Millisecond, AssumeStoppedAfter: 1600 * time.Millisecond,
 	}}
 	f.open(2, 2)
 	if status, code := f.submit(f.entries[0], 1); status != http.StatusForbidden || code != jobs.CodeUnknownContract {
@@ -248,7 +248,7 @@
 			}
 			settled := func() bool {
 				return !slices.ContainsFunc(f.entries, func(e *fleetEntry) bool {
-					return e.Config().Snapshot().Covered() < last || e.Entry.ready() != nil
+					return e.Config().Snapshot().CompleteUpTo() < last || e.Entry.ready() != nil
 				})
 			}
 			f.waitUntil("settled", settled)
--- a/node/process/leased_agent.go
+++ b/node/process/leased_agent.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	corerunner "github.com/papayahoist/papayahoist/dispatch/runner"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 	"github.com/papayahoist/papayahoist/node/decisionlog"
 	"github.com/papayahoist/papayahoist/node/entry"
 	"github.com/papayahoist/papayahoist/node/roster"
@@ -56,7 +56,7 @@
 		return nil, ErrStart.Wrap(err, "listen for the worker's reports")
 	}
 	incarnation := entry.NewIncarnation()
-	disabled, err := without.Parse(s.Without)
+	features, err := disabled.Parse(s.Disabled)
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
@@ -66,14 +66,14 @@
 		OnFrame:     a.metrics.countWorkerFrame,
 		FindEntries: func(ctx context.Context) ([]string, error) { return roster.Find(ctx, client) },
 		Core: corerunner.Options{
-			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLinkOptions(times),
+			Agent: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
 			// The start time is the fencing token: a later process beside the same worker
 			// has a higher one.
-			Token: uint64(time.Now().UnixMilli()), Without: disabled, Decided: runnerLogger(a.log, a.metrics),
+			Token: uint64(time.Now().UnixMilli()), Disabled: features, OnDecision: runnerLogger(a.log, a.metrics),
 		},
 	})
 	a.recorder = workerrecord.New(workerrecord.Options{Store: client, Agent: s.Name, Logger: a.logger})
-	a.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.Silence.Milliseconds(),
+	a.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.EntryTimeout.Milliseconds(),
 		"lease_ms", times.Lease.Milliseconds())
 	return a, nil
 }
@@ -98,8 +98,8 @@
 	case err = <-failed:
 	case <-ctx.Done():
 		a.logger.Info("drain_begun")
-		a.runner.Leave()
-		drained := rpc.Drain(a.opts.Settings.Bounds.Grace-closeReserve, a.runner.Drained)
+		a.runner.Drain()
+		drained := rpc.WaitDrained(a.opts.Settings.Bounds.GracePeriod-closeReserve, a.runner.Drained)
 		a.logger.Info("drain_ended", "all_ended", drained)
 	}
 	a.runner.Close()
@@ -120,7 +120,7 @@
 // date until the context is cancelled.
 func (a *LeasedAgent) restoreWorker(ctx context.Context) {
 	if w, ok := a.recorder.Read(ctx); ok {
-		a.runner.Recalled(w)
+		a.runner.RestoreWorker(w)
 	}
 	a.recorder.Run(ctx)
 }
@@ -134,7 +134,7 @@
 
 // Reported implements adapter.Reports.
 func (r recordingReports) Reported(w corerunner.Worker) bool {
-	ok := r.runner.Reported(w)
+	ok := r.runner.HandleReport(w)
 	if ok {
 		r.recorder.Reported(w)
 	}
@@ -143,13 +143,13 @@
 
 // Left implements adapter.Reports.
 func (r recordingReports) Left(id string) {
-	r.runner.Left(id)
+	r.runner.HandleLeave(id)
 	r.recorder.Left(id)
 }
 
 // Reload applies a replaced settings file. Only the list of seeds can change while
 // the process runs.
 func (a *LeasedAgent) Reload(s settings.LeasedAgent) {
-	a.runner.Learn(s.Seeds)
+	a.runner.AddEntries(s.Seeds)
 	a.logger.Info("settings_reloaded", "seeds", len(s.Seeds))
 }
--- a/node/process/leased_entry.go
+++ b/node/process/leased_entry.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"github.com/papayahoist/papayahoist/dispatch/bounds"
+	"github.com/papayahoist/papayahoist/dispatch/disabled"
 	coredispatcher "github.com/papayahoist/papayahoist/dispatch/dispatcher"
 	"github.com/papayahoist/papayahoist/dispatch/link"
-	"github.com/papayahoist/papayahoist/dispatch/without"
 	"github.com/papayahoist/papayahoist/node/decisionlog"
 	"github.com/papayahoist/papayahoist/node/dispatcher"
 	"github.com/papayahoist/papayahoist/node/entry"
@@ -63,12 +63,12 @@
 )
 
 // leasedLinkOptions returns the time-outs of links between entries and agents. An
-// agent stops the runs of a lost link once t.Silence has passed, so a broken link must
+// agent stops the runs of a lost link once t.EntryTimeout has passed, so a broken link must
 // be detected well before that.
-func leasedLinkOptions(t bounds.Times) link.Options {
+func leasedLinkOptions(t bounds.Timeouts) link.Options {
 	return link.Options{
-		AckDelay:         t.Silence / 8,
-		AckTimeout:       t.Silence * 3 / 4,
+		AckDelay:         t.EntryTimeout / 8,
+		AckTimeout:       t.EntryTimeout * 3 / 4,
 		Heartbeat:        time.Second,
 		HeartbeatTimeout: 2500 * time.Millisecond,
 	}
@@ -101,17 +101,17 @@
 	e := &LeasedEntry{opts: o, log: decisionlog.New(o.Out, slog.String("process", s.Name)), metrics: newLeasedMetrics()}
 	e.logger = slog.New(e.log.Handler())
 	incarnation := entry.NewIncarnation()
-	disabled, err := without.Parse(s.Without)
+	features, err := disabled.Parse(s.Disabled)
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "invalid settings")
 	}
 	e.dispatcher, err = dispatcher.New(dispatcher.Options{
-		NodesListen: s.NodesListen, Address: s.Address(), Seeds: s.Seeds, Logger: e.logger,
+		NodesListen: s.NodesListen, Address: s.AdvertisedAddress(), Seeds: s.Seeds, Logger: e.logger,
 		OnFrame: e.metrics.countOrderFrame, OnExchange: e.metrics.exchanges.Inc,
 		Core: coredispatcher.Options{
-			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Times: times, Link: leasedLinkOptions(times),
+			Entry: s.Name, Incarnation: incarnation, FailureDomain: s.FailureDomain, Timeouts: times, Link: leasedLinkOptions(times),
 			RemoteFactor: s.Bounds.RemoteFactor, ReportsPerSecond: reportsPerCore * s.ProcessorShare,
-			Random: rand.Float64, Without: disabled, Decided: dispatcherLogger(e.log, e.metrics),
+			Random: rand.Float64, Disabled: features, OnDecision: dispatcherLogger(e.log, e.metrics),
 		},
 	})
 	if err != nil {
@@ -127,17 +127,17 @@
 		OnCall: e.metrics.countStoreCall, WatchWait: func() time.Duration { return watchWait(len(e.dispatcher.Entries()), rand.Float64()) },
 	})
 	e.roster = roster.New(roster.Options{
-		Store: e.store, Name: s.Name, Address: s.Address(), Logger: e.logger,
-		ListEvery: func() time.Duration { return listInterval(len(e.dispatcher.Entries())) },
-		Alone:     func() bool { return len(e.dispatcher.Entries()) < 2 },
+		Store: e.store, Name: s.Name, Address: s.AdvertisedAddress(), Logger: e.logger,
+		ListInterval: func() time.Duration { return listInterval(len(e.dispatcher.Entries())) },
+		NoPeers:      func() bool { return len(e.dispatcher.Entries()) < 2 },
 	})
-	e.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.Silence.Milliseconds(),
-		"lease_ms", times.Lease.Milliseconds(), "give_up_ms", times.GiveUp.Milliseconds())
+	e.logger.Info("process_started", "version", o.Version, "incarnation", incarnation, "silence_ms", times.EntryTimeout.Milliseconds(),
+		"lease_ms", times.Lease.Milliseconds(), "give_up_ms", times.ReconnectTimeout.Milliseconds())
 	return e, nil
 }
 
-func deriveTimes(b settings.Bounds) (bounds.Times, error) {
-	times, err := bounds.Derive(bounds.Given{Resend: b.Resend, MaxLease: b.MaxLease, Stop: b.Stop})
+func deriveTimes(b settings.Bounds) (bounds.Timeouts, error) {
+	times, err := bounds.Derive(bounds.Params{ResendAfter: b.ResendAfter, MaxLease: b.MaxLease, StopTime: b.StopTime})
 	if err != nil {
 		return times, ErrStart.Wrap(err, "invalid settings")
 	}
@@ -172,7 +172,7 @@
 	bgCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	wg.Go(func() { e.log.Run(bgCtx) })
-	go e.roster.Run(bgCtx, e.dispatcher.Learn)
+	go e.roster.Run(bgCtx, e.dispatcher.AddEntries)
 	go func() {
 		_ = follow.Run(bgCtx, e.store, adapter.OperatorPrefix, &operatorReader{entry: e}, follow.Options{MinWait: minStoreRetryWait, MaxWait: maxStoreRetryWait})
 	}()
@@ -181,7 +181,7 @@
 		ErrorLog: slog.NewLogLogger(e.log.Handler(), slog.LevelWarn),
 	}
 	e.metrics.registerGauge("papayahoist_links", "Linked agents.", func() float64 { return float64(e.dispatcher.Links()) })
-	e.metrics.registerGauge("papayahoist_open_jobs", "Admitted jobs that have not been answered yet.", func() float64 { return float64(e.dispatcher.Open()) })
+	e.metrics.registerGauge("papayahoist_open_jobs", "Admitted jobs that have not been answered yet.", func() float64 { return float64(e.dispatcher.OpenJobs()) })
 	e.metrics.registerGauge("papayahoist_configuration_version", "Version of the configuration in force.", func() float64 { return float64(e.dispatcher.Configuration().GetVersion()) })
 	e.metrics.registerGauge("papayahoist_evacuated_domains", "Number of evacuated failure domains.", func() float64 { return float64(len(e.dispatcher.Evacuations().GetDomains())) })
 	metricsServer, err := e.metrics.serve(e.opts.Settings.MetricsListen)
@@ -205,7 +205,7 @@
 	}
 	_ = readyServer.Close()
 	_ = jobsServer.Close()
-	e.logger.Info("process_stopped", "open_jobs", e.dispatcher.Open())
+	e.logger.Info("process_stopped", "open_jobs", e.dispatcher.OpenJobs())
 	cancel()
 	wg.Wait()
 	if err != nil {
@@ -224,9 +224,9 @@
 func (e *LeasedEntry) drain(jobsServer *http.Server) {
 	start := time.Now()
 	e.leaving.Store(true)
-	e.logger.Info("drain_begun", "open_jobs", e.dispatcher.Open())
-	grace := e.opts.Settings.Bounds.Grace - closeReserve
-	e.dispatcher.Leave(grace)
+	e.logger.Info("drain_begun", "open_jobs", e.dispatcher.OpenJobs())
+	grace := e.opts.Settings.Bounds.GracePeriod - closeReserve
+	e.dispatcher.Drain(grace)
 	e.roster.Leave()
 	// Each answer from now on closes its connection, so that the caller connects to
 	// another entry.
@@ -235,7 +235,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), start.Add(grace))
 	defer cancel()
 	if err := jobsServer.Shutdown(ctx); err != nil {
-		e.logger.Warn("drain_cut", "open_jobs", e.dispatcher.Open())
+		e.logger.Warn("drain_cut", "open_jobs", e.dispatcher.OpenJobs())
 		return
 	}
 	e.logger.Info("drain_ended", "elapsed_ms", time.Since(start).Milliseconds())
@@ -244,6 +244,6 @@
 // Reload applies a replaced settings file. Only the list of seeds can change while
 // the process runs.
 func (e *LeasedEntry) Reload(s settings.LeasedEntry) {
-	e.dispatcher.Learn(s.Seeds)
+	e.dispatcher.AddEntries(s.Seeds)
 	e.logger.Info("settings_reloaded", "seeds", len(s.Seeds))
 }
