--- a/dispatch/runner/entries.go
+++ b/dispatch/runner/entries.go
@@ -271,7 +271,7 @@
 			e.downAt = now
 		}
 		if r.timedOut(now, e) && r.hasWantedRuns(e) {
-			r.stopRunsOf(now, e, "nothing received from the entry in time")
+			r.stopRunsOf(now, e, "no word from the entry")
 			if e.session.IsUp() {
 				r.ready.Reconnect = append(r.ready.Reconnect, e.incarnation)
 				e.session.Down()
--- a/dispatch/runner/incarnation.go
+++ b/dispatch/runner/incarnation.go
@@ -74,7 +74,7 @@
 				return false
 			}
 		}
-		r.handleSuperseded(now, "a new incarnation of the worker reports")
+		r.handleSuperseded(now, "a new life of the worker reports")
 	}
 	r.adoptWorker(now, w, "reports")
 	return true
@@ -170,7 +170,7 @@
 	if startMs == r.worker.StartUnixMs {
 		return true
 	}
-	r.handleSuperseded(now, "another incarnation of the worker answers")
+	r.handleSuperseded(now, "another life of the worker answers")
 	r.worker.StartUnixMs = startMs
 	return false
 }
