--- a/dispatch/entry/entry.go
+++ b/dispatch/entry/entry.go
@@ -47,12 +47,12 @@
 	// NewPicker returns the strategy that chooses agents for tasks. Nil selects late
 	// binding by credits, with MessageCost.
 	NewPicker func() place.Picker
-	// ExchangeAfter is the least time between exchanges that the entry requests
+	// MinExchangeInterval is the least time between exchanges that the entry requests
 	// because its share of a contract limits its work.
-	ExchangeAfter time.Duration
-	// OverbookAfter is how long tasks wait for a spare slot before one is sent to
+	MinExchangeInterval time.Duration
+	// OverbookDelay is how long tasks wait for a spare slot before one is sent to
 	// each agent to queue there.
-	OverbookAfter time.Duration
+	OverbookDelay time.Duration
 	// MessageCost is how much later a task may end if that saves one message.
 	MessageCost time.Duration
 	// DomainRoundTrip is the additional round-trip time to an agent in another
@@ -77,23 +77,23 @@
 
 // Defaults of Options.
 const (
-	DefaultAnswerTTL      = 2 * time.Minute
-	DefaultTokenTTL       = 15 * time.Minute
-	DefaultRevokeWait     = 50 * time.Millisecond
-	DefaultRecoverWait    = 2 * time.Second
-	DefaultAgentLostAfter = 10 * time.Second
-	DefaultRedialAfter    = 250 * time.Millisecond
-	DefaultRedialMax      = 2 * time.Second
-	DefaultMaxJobs        = 200_000
-	DefaultMaxAnswerBytes = 64 << 20
-	DefaultMaxRetiredIDs  = 1_000_000
-	DefaultMaxRecoveries  = 10_000
-	DefaultMaxWaiting     = 100_000
-	DefaultExchangeAfter  = 50 * time.Millisecond
-	DefaultOverbookAfter  = 5 * time.Millisecond
-	DefaultMessageCost    = time.Millisecond
-	DefaultSpreadCost     = 2 * time.Millisecond
-	DefaultCollisionCost  = 5 * time.Millisecond
+	DefaultAnswerTTL           = 2 * time.Minute
+	DefaultTokenTTL            = 15 * time.Minute
+	DefaultRevokeWait          = 50 * time.Millisecond
+	DefaultRecoverWait         = 2 * time.Second
+	DefaultAgentLostAfter      = 10 * time.Second
+	DefaultRedialAfter         = 250 * time.Millisecond
+	DefaultRedialMax           = 2 * time.Second
+	DefaultMaxJobs             = 200_000
+	DefaultMaxAnswerBytes      = 64 << 20
+	DefaultMaxRetiredIDs       = 1_000_000
+	DefaultMaxRecoveries       = 10_000
+	DefaultMaxWaiting          = 100_000
+	DefaultMinExchangeInterval = 50 * time.Millisecond
+	DefaultOverbookDelay       = 5 * time.Millisecond
+	DefaultMessageCost         = time.Millisecond
+	DefaultSpreadCost          = 2 * time.Millisecond
+	DefaultCollisionCost       = 5 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
@@ -108,8 +108,8 @@
 	o.AgentLostAfter = cmp.Or(o.AgentLostAfter, DefaultAgentLostAfter)
 	o.RedialAfter = cmp.Or(o.RedialAfter, DefaultRedialAfter)
 	o.MessageCost = cmp.Or(o.MessageCost, DefaultMessageCost)
-	o.ExchangeAfter = cmp.Or(o.ExchangeAfter, DefaultExchangeAfter)
-	o.OverbookAfter = cmp.Or(o.OverbookAfter, DefaultOverbookAfter)
+	o.MinExchangeInterval = cmp.Or(o.MinExchangeInterval, DefaultMinExchangeInterval)
+	o.OverbookDelay = cmp.Or(o.OverbookDelay, DefaultOverbookDelay)
 	o.RedialMax = cmp.Or(o.RedialMax, DefaultRedialMax)
 	if o.Random == nil {
 		o.Random = func() float64 { return 1 }
@@ -132,8 +132,8 @@
 	if o.Link == (link.Options{}) {
 		o.Link = p.Link
 	}
-	o.OverbookAfter = cmp.Or(o.OverbookAfter, p.OverbookDelay)
-	o.ExchangeAfter = cmp.Or(o.ExchangeAfter, p.MinExchangeInterval)
+	o.OverbookDelay = cmp.Or(o.OverbookDelay, p.OverbookDelay)
+	o.MinExchangeInterval = cmp.Or(o.MinExchangeInterval, p.MinExchangeInterval)
 	o.MessageCost = cmp.Or(o.MessageCost, p.MessageCost)
 }
 
--- a/dispatch/entry/place.go
+++ b/dispatch/entry/place.go
@@ -7,7 +7,7 @@
 // place sends waiting tasks to agents that have granted credits, and advertises to
 // the agents how many more the entry could use.
 func (e *Entry) place(now time.Time) {
-	if since := e.policy.starvedSince; !since.IsZero() && now.Sub(since) >= e.opts.OverbookAfter {
+	if since := e.policy.starvedSince; !since.IsZero() && now.Sub(since) >= e.opts.OverbookDelay {
 		e.policy.sched.Pool.Overbook()
 	}
 	for p, ok := e.policy.sched.Next(now); ok; p, ok = e.policy.sched.Next(now) {
--- a/dispatch/entry/shares.go
+++ b/dispatch/entry/shares.go
@@ -65,11 +65,11 @@
 // don't enlarge its share because the other entries need theirs too.
 func (e *Entry) requestExchange(now time.Time) {
 	p := e.policy
-	if len(e.otherEntries) == 0 || !p.limits.AnyBlockedByShare() || now.Before(p.exchangeRequested.Add(max(p.exchangeBackoff, e.opts.ExchangeAfter))) {
+	if len(e.otherEntries) == 0 || !p.limits.AnyBlockedByShare() || now.Before(p.exchangeRequested.Add(max(p.exchangeBackoff, e.opts.MinExchangeInterval))) {
 		return
 	}
 	p.exchangeRequested = now
-	p.exchangeBackoff = min(max(2*p.exchangeBackoff, e.opts.ExchangeAfter), maxExchangeBackoff)
+	p.exchangeBackoff = min(max(2*p.exchangeBackoff, e.opts.MinExchangeInterval), maxExchangeBackoff)
 	// If this entry is the allocator, the exchange carries the new plan.
 	e.updateDemand()
 	if p.shares.Tick(now) {
